--- a/notchflow/policy/balancer.py
+++ b/notchflow/policy/balancer.py
@@ -11,8 +11,28 @@
 from typing import Any, Final
 
 from notchflow.interface import (
-    Action, Arrived, Cancel, ClientGone, Event, Fail, ListKind, Membership, Outcome, Refuse, Request, Retune,
-    Rules, Send, SetTimer, Settings, Spent, State, Status, StreamStarted, Timer, Watch,
+    Action,
+    Arrived,
+    Cancel,
+    ClientGone,
+    Event,
+    Fail,
+    ListKind,
+    Membership,
+    Outcome,
+    Refuse,
+    Request,
+    Retune,
+    Rules,
+    Send,
+    SetTimer,
+    Settings,
+    Spent,
+    State,
+    Status,
+    StreamStarted,
+    Timer,
+    Watch,
 )
 from notchflow.policy.budgets import Budgets
 from notchflow.policy.fleet import Fleet
@@ -92,8 +112,11 @@
 
     def avoided(self, now: float) -> int:
         """How many servers of the list get no requests now: they drain, are ejected, or still on trial."""
-        return sum(n.member.state is not READY or not healthy(n, now)
-                   for n in self.fleet.nodes.values() if n.member.state is not State.GONE)
+        return sum(
+            n.member.state is not READY or not healthy(n, now)
+            for n in self.fleet.nodes.values()
+            if n.member.state is not State.GONE
+        )
 
     def _other(self, now: float, event: Event) -> None:
         match event:
@@ -123,8 +146,10 @@
             self.started = True
             self.actions.append(SetTimer(now + SAMPLE_MS, "sample"))
             if self.settings.list_on_request:  # jitter: the list cannot answer every instance at once
-                early = min(WATCH_EARLY * self.settings.rules.ask_within_ms,
-                            WATCH_SPACING_MS * self.settings.balancers)
+                early = min(
+                    WATCH_EARLY * self.settings.rules.ask_within_ms,
+                    WATCH_SPACING_MS * self.settings.balancers,
+                )
                 self.actions.append(SetTimer(now + self.rng.random() * early, "watch"))
         elif event.kind is ListKind.FAILED and self.settings.list_on_request:
             self.actions.append(SetTimer(now + back_off(self.rng, self.settings.rules), "watch"))
@@ -169,8 +194,13 @@
         node = self.fleet.origin if aside else self.placement.pick(now, pending, self.rate)
         self._send(now, pending, node)
         usual = self.fleet.class_latency.get(cls.name)
-        if (self.second_copies and pending.out and usual and SECOND_AFTER * usual < cls.aim_ms
-                and cls.effect is not UNSAFE):
+        if (
+            self.second_copies
+            and pending.out
+            and usual
+            and SECOND_AFTER * usual < cls.aim_ms
+            and cls.effect is not UNSAFE
+        ):
             due = now + SECOND_AFTER * usual
             if self.copies.add(now, due, number):
                 self.actions.append(SetTimer(due, "second"))
@@ -186,10 +216,16 @@
     def _second(self, now: float, request_id: int) -> None:
         """A second copy where what was sent half the wait later is served: a queue would delay both."""
         pending = self.pending.get(request_id)
-        if (pending is None or pending.done or pending.streaming or pending.arriving or len(pending.out) != 1
-                or self.budgets.retries < 1):
+        if (
+            pending is None
+            or pending.done
+            or pending.streaming
+            or pending.arriving
+            or len(pending.out) != 1
+            or self.budgets.retries < 1
+        ):
             return
-        (first, sent_at), = pending.out.values()
+        ((first, sent_at),) = pending.out.values()
         more = pending.attempts < pending.most and self.throttle.pressure() <= 0
         served = first.newest > (sent_at + now) / 2
         node = self.placement.pick(now, pending, self.rate) if more and served else None
@@ -199,16 +235,26 @@
 
     def _send(self, now: float, pending: Pending, node: Node | None) -> None:
         left, attempts = pending.deadline - now, pending.attempts
-        if (node is None or left <= 0 or attempts >= pending.most or node.member.state is not READY
-                or now >= pending.until or (attempts and not pending.may_go(node, now))):
+        if (
+            node is None
+            or left <= 0
+            or attempts >= pending.most
+            or node.member.state is not READY
+            or now >= pending.until
+            or (attempts and not pending.may_go(node, now))
+        ):
             self._finish(pending)
             return
         timeout = None
         if node.fails or node.mutes:
             mute = node.mutes.get(pending.cls.name)
             doubtful = node.fails > 0 or (mute is not None and mute.fails >= SUSPECT_AFTER)
-            if (doubtful and attempts + 1 < pending.most and pending.cls.effect is SAFE
-                    and not pending.arriving):
+            if (
+                doubtful
+                and attempts + 1 < pending.most
+                and pending.cls.effect is SAFE
+                and not pending.arriving
+            ):
                 timeout = left * TRIAL_SHARE
         before = pending.before()
         pending.out[attempts] = node, now
--- a/notchflow/policy/fleet.py
+++ b/notchflow/policy/fleet.py
@@ -9,7 +9,15 @@
 from notchflow.policy.health import failed, listen
 from notchflow.policy.kinds import Beliefs, Steps, estimator
 from notchflow.policy.nodes import (
-    ANSWERED, CONNECT_FAILED, EJECT_MS, FULL, OK, READY, RESET, TIMEOUT, Node,
+    ANSWERED,
+    CONNECT_FAILED,
+    EJECT_MS,
+    FULL,
+    OK,
+    READY,
+    RESET,
+    TIMEOUT,
+    Node,
 )
 from notchflow.policy.order import Order
 from notchflow.policy.shares import many
@@ -214,7 +222,8 @@
                 node.newest = now - outcome.latency_ms
             node.fails, node.ejected_until, node.pause, node.trial = 0, 0.0, EJECT_MS, False
         elif status is CONNECT_FAILED or (
-                status in (TIMEOUT, RESET) and node.answered_at < now - outcome.latency_ms):
+            status in (TIMEOUT, RESET) and node.answered_at < now - outcome.latency_ms
+        ):
             failed(now, node, status is CONNECT_FAILED, self.ready)
         ratio = 0.0
         if status is OK and outcome.hit is not False:
--- a/notchflow/policy/handover.py
+++ b/notchflow/policy/handover.py
@@ -14,17 +14,27 @@
 
 def tell(now: float, fleet: Fleet, hot: HotKeys, budgets: Budgets, rate: float) -> dict[str, Any]:
     """Times are counted from now, `rate` is own requests a millisecond."""
-    return {**fleet.kinds.told(), **hot.told(), "classes": fleet.class_latency, "cost": budgets.mean_cost,
-            "rate": rate / 2,  # both serve for a while, and the two count cold servers' budgets apart
-            "health": {str(n.id): [n.fails, max(n.ejected_until - now, 0.0), n.pause, n.trial]
-                       for n in fleet.nodes.values() if n.fails}}
+    return {
+        **fleet.kinds.told(),
+        **hot.told(),
+        "classes": fleet.class_latency,
+        "cost": budgets.mean_cost,
+        "rate": rate / 2,  # both serve for a while, and the two count cold servers' budgets apart
+        "health": {
+            str(n.id): [n.fails, max(n.ejected_until - now, 0.0), n.pause, n.trial]
+            for n in fleet.nodes.values()
+            if n.fails
+        },
+    }
 
 
 def take(now: float, told: Mapping[str, Any], fleet: Fleet, hot: HotKeys, budgets: Budgets) -> float:
     """Begins with what another process has learned and gives the rate; an error leaves all as it was."""
     classes, rate, cost = numbers(told["classes"]), float(told["rate"]), float(told["cost"])
-    health = [(fleet.nodes.get(int(node)), int(fails), float(out), float(pause), bool(trial))
-              for node, (fails, out, pause, trial) in told["health"].items()]
+    health = [
+        (fleet.nodes.get(int(node)), int(fails), float(out), float(pause), bool(trial))
+        for node, (fails, out, pause, trial) in told["health"].items()
+    ]
     kinds = type(fleet.kinds)()
     kinds.take(told)
     hot.take(now, told, rate)
--- a/notchflow/policy/health.py
+++ b/notchflow/policy/health.py
@@ -24,8 +24,9 @@
     return cls not in node.mutes or not node.mutes[cls].bars(now)
 
 
-def listen(now: float, node: Node, outcome: Outcome, of: RequestClass, usual: float,
-           ready: Sequence[Node]) -> None:
+def listen(
+    now: float, node: Node, outcome: Outcome, of: RequestClass, usual: float, ready: Sequence[Node]
+) -> None:
     """A server may hang or err on one class alone, or on most of it; the answers it gives to others, and
     the few to this one, must not hide that. In a queue nothing sent half the wait later is served. `usual`:
     what an answer of this class takes, infinite where none is known."""
--- a/notchflow/policy/hot_keys.py
+++ b/notchflow/policy/hot_keys.py
@@ -181,10 +181,12 @@
 
     def told(self) -> dict[str, Any]:
         """What a process that takes this one's place is told."""
-        return {"load": list(self.threshold.history),
-                "topk": {name: getattr(self.topk, name) for name in TOLD},
-                "spread": {key: width for key, (width, _) in self.spread.items()},
-                "factoring": self.factoring}
+        return {
+            "load": list(self.threshold.history),
+            "topk": {name: getattr(self.topk, name) for name in TOLD},
+            "spread": {key: width for key, (width, _) in self.spread.items()},
+            "factoring": self.factoring,
+        }
 
     def take(self, now: float, told: Mapping[str, Any], rate: float) -> None:
         """Begins with that; an error leaves all as it was."""
--- a/notchflow/policy/kinds.py
+++ b/notchflow/policy/kinds.py
@@ -42,7 +42,7 @@
 
     def step(self, now: float) -> bool:
         """Corrects the weights; whether one changed."""
-        means = {k: s / n for k, (s, n) in sorted(self.slow.items()) if n >= LEARN_SURE ** 2}
+        means = {k: s / n for k, (s, n) in sorted(self.slow.items()) if n >= LEARN_SURE**2}
         if len(means) < 2:
             return False
         middle = sum(math.log(m) for m in means.values()) / len(means)
--- a/notchflow/policy/nodes.py
+++ b/notchflow/policy/nodes.py
@@ -69,9 +69,28 @@
 class Node:
     """One server as this balancer knows it."""
 
-    __slots__ = ("id", "salt", "member", "weight", "in_flight", "fails", "answered_at", "cold_until",
-                 "ejected_until", "pause", "cold_sent", "trial", "throttle", "newest", "mutes",
-                 "slow", "slow_at", "out", "tokens", "refilled_at")
+    __slots__ = (
+        "id",
+        "salt",
+        "member",
+        "weight",
+        "in_flight",
+        "fails",
+        "answered_at",
+        "cold_until",
+        "ejected_until",
+        "pause",
+        "cold_sent",
+        "trial",
+        "throttle",
+        "newest",
+        "mutes",
+        "slow",
+        "slow_at",
+        "out",
+        "tokens",
+        "refilled_at",
+    )
 
     def __init__(self, member: Member) -> None:
         self.id = member.node
--- a/notchflow/policy/order.py
+++ b/notchflow/policy/order.py
@@ -53,8 +53,12 @@
         few, drawn = bool(self.cuts) and places <= PLACES, list(zip(hashes, self.ready, strict=True))
         if few:
             drawn = [pair for pair, cut in zip(drawn, self.cuts, strict=True) if pair[0] >= cut]
-        scored = sorted([(-math.log(((x >> 11) + 1) * 1.1102230246251565e-16) / node.weight, node.id, node)
-                         for x, node in drawn])
+        scored = sorted(
+            [
+                (-math.log(((x >> 11) + 1) * 1.1102230246251565e-16) / node.weight, node.id, node)
+                for x, node in drawn
+            ]
+        )
         if few and (len(scored) < places or scored[places - 1][0] >= self.sure):
             return self.ranked(key, len(self.ready))[:places]
         return [node for _, _, node in scored[:places]]
--- a/notchflow/policy/pending.py
+++ b/notchflow/policy/pending.py
@@ -16,8 +16,20 @@
 class Pending:
     """A request in hand: its attempts, and what the rules still allow for it."""
 
-    __slots__ = ("request", "cls", "deadline", "arriving", "out", "tried", "may_have_run", "attempts", "most",
-                 "done", "streaming", "until")
+    __slots__ = (
+        "request",
+        "cls",
+        "deadline",
+        "arriving",
+        "out",
+        "tried",
+        "may_have_run",
+        "attempts",
+        "most",
+        "done",
+        "streaming",
+        "until",
+    )
 
     def __init__(self, request: Request, cls: RequestClass, most: int) -> None:
         self.request, self.cls, self.most = request, cls, most
--- a/notchflow/policy/placement.py
+++ b/notchflow/policy/placement.py
@@ -53,17 +53,25 @@
             if not pending.allows(node, now):
                 continue
             # That it is warm and idle, as is usual, is asked before the calls: they cost as much again.
-            if healthy(node, now, cls) and (now >= node.cold_until
-                                            or self._may_warm(node, now, pending.request.key, rate)):
-                if ((node.in_flight < BOUND_MIN or not fleet.bounded(node)) and not self._held_back(node)
-                        and not (fleet.many and fleet.crowded(node, now, self.rng.random()))):
+            if healthy(node, now, cls) and (
+                now >= node.cold_until or self._may_warm(node, now, pending.request.key, rate)
+            ):
+                if (
+                    (node.in_flight < BOUND_MIN or not fleet.bounded(node))
+                    and not self._held_back(node)
+                    and not (fleet.many and fleet.crowded(node, now, self.rng.random()))
+                ):
                     return node
                 fallback = fallback or node
         if fallback is not None:
             return fallback
         # The remembered places are out; no cold server is pushed over for want of another.
-        rest = [n for n in fleet.ready if pending.allows(n, now)
-                and (now >= n.cold_until or self._may_warm(n, now, pending.request.key, rate))]
+        rest = [
+            n
+            for n in fleet.ready
+            if pending.allows(n, now)
+            and (now >= n.cold_until or self._may_warm(n, now, pending.request.key, rate))
+        ]
         well = [n for n in rest if healthy(n, now, cls)]
         return min(well or rest, key=lambda n: (n.in_flight, n.id)) if rest else None
 
