--- a/benchmarks/kinds.py
+++ b/benchmarks/kinds.py
@@ -87,8 +87,8 @@
             name = "x" if rng.random() < shares["x"] else "y"
             took = rng.expovariate(1 / means[name])
             usual += 0.05 * (took - usual)
-            estimator.heard(name, min(took / usual, WAIT_MAX), second * 1000.0 + 500)
-        estimator.step(second * 1000.0 + 1000)
+            estimator.add_answer(name, min(took / usual, WAIT_MAX), second * 1000.0 + 500)
+        estimator.update_weights(second * 1000.0 + 1000)
         ratio = estimator.weights.get("x", 1.0) / estimator.weights.get("y", 1.0)
         near = near + 1 if mean_wait(kinds, ratio, load) <= NEAR * best else 0
         if near == HOLD_S and known == RUN_S:
--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -8,7 +8,7 @@
 
 from notchflow.effects.keeper import Keeper
 from notchflow.hosting.membership import Membership
-from notchflow.interface import ListKind, Retune, State
+from notchflow.interface import ListKind, SettingsChanged, State
 from notchflow.net.config import Config
 from notchflow.net.host import Host
 from notchflow.net.listing import Listing
@@ -73,7 +73,7 @@
         """So many proxies are there, this one counted."""
         self._take_over(replace(self.config, settings=replace(self.settings, balancers=balancers)))
         self.config = replace(self.config, settings=self.settings)
-        self.tell(Retune(self.settings))
+        self.tell(SettingsChanged(self.settings))
 
     def boxes(self) -> list[dict[str, Any]]:
         nodes = self.balancer.fleet.nodes
--- a/notchflow/interface.py
+++ b/notchflow/interface.py
@@ -232,7 +232,7 @@
     size: float | None = None
     retry: bool = False
     write: bool = False
-    arriving: bool = False  # its body is still coming: `Arrived` tells the deadline that it has from then on
+    body_incomplete: bool = False  # its body is still coming: `BodyArrived` tells the deadline that it has from then on
     earlier: float | None = None  # when a request with the same effect may first have run
 
 
@@ -276,7 +276,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class BodyArrived:
     """The body of a request that began before it was whole has come: the client waits until this deadline."""
 
     id: int
@@ -284,14 +284,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
+class BodyDiscarded:
     """A part of a request's body is not held any more: what is under way may go on, no attempt can begin."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Retune:
+class SettingsChanged:
     """New settings, from now on. A request in hand keeps the class that it was taken with, to its end."""
 
     settings: Settings
@@ -321,9 +321,9 @@
     | Probed
     | Timer
     | PeerMessage
-    | Retune
-    | Arrived
-    | Spent
+    | SettingsChanged
+    | BodyArrived
+    | BodyDiscarded
 )
 
 
--- a/notchflow/net/attempt.py
+++ b/notchflow/net/attempt.py
@@ -188,7 +188,7 @@
         return None
     try:
         data = json.loads(raw)
-        return {wire.LOADS.get(n, n): float(data[n]) for n in names if n in data}
+        return {wire.LOAD_FIELD_NAMES.get(n, n): float(data[n]) for n in names if n in data}
     except (ValueError, TypeError):
         return None
 
--- a/notchflow/net/desk.py
+++ b/notchflow/net/desk.py
@@ -13,7 +13,7 @@
 
 from notchflow.interface import (
     Action,
-    Arrived,
+    BodyArrived,
     Cancel,
     ClientGone,
     Event,
@@ -26,7 +26,7 @@
     Send,
     SetTimer,
     Settings,
-    Spent,
+    BodyDiscarded,
     Status,
     StreamStarted,
     Timer,
@@ -342,13 +342,13 @@
         item.timer = self.at(item.deadline, self._deadline, item.id)
         for attempt in list(item.out.values()):
             attempt.body_ended()
-        self.tell(Arrived(item.id, item.deadline))
+        self.tell(BodyArrived(item.id, item.deadline))
 
     def spend(self, item: Open) -> bool:
         """Whether the start of the body need not be held any more, as a box is getting it."""
         if item.done or len(item.out) != 1 or any(a.connection is None for a in item.out.values()):
             return False
-        self.tell(Spent(item.id))
+        self.tell(BodyDiscarded(item.id))
         return True
 
     def stuck(self, item: Open) -> None:
--- a/notchflow/net/host.py
+++ b/notchflow/net/host.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Any
 
-from notchflow.interface import ListKind, Member, Membership, Retune, State, Status
+from notchflow.interface import ListKind, Member, Membership, SettingsChanged, State, Status
 from notchflow.net.clock import Clock
 from notchflow.net.config import Config
 from notchflow.net.connection import IdleLimit
@@ -87,7 +87,7 @@
         changed = config.settings != self.settings
         self._take_over(config)
         if changed:
-            self.tell(Retune(config.settings))
+            self.tell(SettingsChanged(config.settings))
             self.discovery.retuned()
         self.config = config
         if config.discovery is not None:
@@ -100,7 +100,7 @@
         return {
             "listing": {"revision": self.discovery.revision or 0, "complete": True, "members": members},
             "standby": self.duty.phase is Phase.STANDBY,
-            "learned": self.balancer.learned(self.clock.now()),
+            "learned": self.balancer.export_state(self.clock.now()),
         }
 
     def pass_on(self, listing: Listing) -> None:
@@ -131,7 +131,7 @@
             self.discovery.revision = listing.revision
             if state.get("standby"):
                 self._stand_by()
-            self.balancer.learn(self.clock.now(), state["learned"])
+            self.balancer.restore_state(self.clock.now(), state["learned"])
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("what the process before this one told is malformed: %r", error)
             return bool(self.listed)
@@ -265,7 +265,7 @@
             {
                 "registry_entries": len(self.listed),
                 "registry_age_ms": -1 if age is None else round(age),
-                "out_of_rotation": self.balancer.avoided(now),
+                "out_of_rotation": self.balancer.count_out_of_rotation(now),
             }
         )
 
--- a/notchflow/net/watch.py
+++ b/notchflow/net/watch.py
@@ -20,7 +20,7 @@
 
 from notchflow.interface import ListKind, Rules, State
 from notchflow.net.listing import Listing
-from notchflow.policy.balancer import back_off
+from notchflow.policy.balancer import watch_backoff_ms
 
 # Where lists are asked for. A call that continues a watch asks for the longest wait that discovery allows, as
 # what a silent one misses counts as told 2 s after its wait. Any other asks to be answered at once: that
@@ -256,7 +256,7 @@
             if not self.asked:
                 self.renew_at = now + again
             elif not self.out[0].soon:
-                self.renew_at = now + back_off(self.rng, self.rules)
+                self.renew_at = now + watch_backoff_ms(self.rng, self.rules)
             return [Failed(problem, True)]
         if self.asked:  # the module says when
             self.wanted = False
--- a/notchflow/policy/balancer.py
+++ b/notchflow/policy/balancer.py
@@ -12,7 +12,7 @@
 
 from notchflow.interface import (
     Action,
-    Arrived,
+    BodyArrived,
     Cancel,
     ClientGone,
     Event,
@@ -22,12 +22,12 @@
     Outcome,
     Refuse,
     Request,
-    Retune,
+    SettingsChanged,
     Rules,
     Send,
     SetTimer,
     Settings,
-    Spent,
+    BodyDiscarded,
     State,
     Status,
     StreamStarted,
@@ -46,14 +46,14 @@
 COMFORT: Final = 0.7  # of a class's aim: an answer in so much of it shows no pressure
 WATCH_EARLY: Final = 0.3
 WATCH_SPACING_MS: Final = 25.0  # between the first calls of all instances, on average
-BACKOFF_MS: Final = (250.0, 1_000.0)  # twice this and two calls that queue for 2 s: 6 s, when changes count
+WATCH_BACKOFF_MS: Final = (250.0, 1_000.0)  # twice this and two calls that queue for 2 s: 6 s, when changes count
 BACKOFF_SHARE: Final = 0.4  # of the time to ask within, at most
 
 
-def back_off(rng: random.Random, rules: Rules) -> float:
+def watch_backoff_ms(rng: random.Random, rules: Rules) -> float:
     """How long after a call for the list that came to nothing the next is made."""
     most = BACKOFF_SHARE * rules.ask_within_ms
-    return rng.uniform(*(min(pause, most) for pause in BACKOFF_MS))
+    return rng.uniform(*(min(pause, most) for pause in WATCH_BACKOFF_MS))
 
 
 class Balancer:
@@ -63,21 +63,21 @@
         self.rng = random.Random(seed)
         self._take_over(settings)
         self.fleet = Fleet(settings, now)
-        self.hot = HotKeys(self.rng, now)
+        self.hot_keys = HotKeys(self.rng, now)
         self.budgets = Budgets()
         self.throttle = self.budgets.throttle
-        self.placement = Placement(self.rng, self.fleet, self.hot, self.throttle)
+        self.placement = Placement(self.rng, self.fleet, self.hot_keys, self.throttle)
         self.pending: dict[int, Pending] = {}
         self.arrivals = 0
         self.rate = 0.0  # own requests, a millisecond
         self.sampled_at = now
         self.started = False
         self.actions: list[Action] = []
-        self.copies = Copies()
+        self.hedges = Copies()
 
     def _take_over(self, settings: Settings) -> None:
         self.settings = settings
-        self.by_work = settings.worth_by_work
+        self.worth_by_work = settings.worth_by_work
         self.second_copies, self.max_attempts = settings.limits.second_copies, settings.limits.max_attempts
         self.classes = {c.name: c for c in settings.classes}
 
@@ -87,17 +87,17 @@
         self._take_over(settings)
         self.fleet.state(settings)
         for pending in self.pending.values():
-            pending.most = min(pending.most, self.max_attempts)
+            pending.max_attempts = min(pending.max_attempts, self.max_attempts)
         self.fleet.update(now, Membership(ListKind.DELTA))  # warm-up times may be others
 
     # -- what a process that takes this one's place is told
-    def learned(self, now: float) -> dict[str, Any]:
+    def export_state(self, now: float) -> dict[str, Any]:
         """What need not be learned anew, in plain values; times are counted from now."""
-        return tell(now, self.fleet, self.hot, self.budgets, self.rate)
+        return tell(now, self.fleet, self.hot_keys, self.budgets, self.rate)
 
-    def learn(self, now: float, told: Mapping[str, Any]) -> None:
+    def restore_state(self, now: float, told: Mapping[str, Any]) -> None:
         """Begins with what another process has learned; an error leaves all as it was."""
-        self.rate = take(now, told, self.fleet, self.hot, self.budgets)
+        self.rate = take(now, told, self.fleet, self.hot_keys, self.budgets)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Answers one event."""
@@ -110,7 +110,7 @@
             self._other(now, event)
         return self.actions
 
-    def avoided(self, now: float) -> int:
+    def count_out_of_rotation(self, now: float) -> int:
         """How many servers of the list get no requests now: they drain, are ejected, or still on trial."""
         return sum(
             n.member.state is not READY or not healthy(n, now)
@@ -126,14 +126,14 @@
                 self._timer(now, token)
             case ClientGone(request):
                 self._close(request)
-            case Retune(settings):
+            case SettingsChanged(settings):
                 self._retune(now, settings)
-            case Arrived(request, deadline):
+            case BodyArrived(request, deadline):
                 if request in self.pending:
-                    self.pending[request].deadline, self.pending[request].arriving = deadline, False
-            case Spent(request):
+                    self.pending[request].deadline, self.pending[request].body_incomplete = deadline, False
+            case BodyDiscarded(request):
                 if request in self.pending:
-                    self.pending[request].most = self.pending[request].attempts
+                    self.pending[request].max_attempts = self.pending[request].attempts
             case StreamStarted(request, attempt):
                 if request in self.pending:
                     self.pending[request].streaming = True
@@ -152,7 +152,7 @@
                 )
                 self.actions.append(SetTimer(now + self.rng.random() * early, "watch"))
         elif event.kind is ListKind.FAILED and self.settings.list_on_request:
-            self.actions.append(SetTimer(now + back_off(self.rng, self.settings.rules), "watch"))
+            self.actions.append(SetTimer(now + watch_backoff_ms(self.rng, self.settings.rules), "watch"))
 
     def _timer(self, now: float, token: str) -> None:
         if token == "watch":
@@ -170,7 +170,7 @@
         self.arrivals, self.sampled_at = 0, now
         self.fleet.tick(now)
         self.throttle.fade()
-        self.hot.sample(now, self.rate, self.fleet)
+        self.hot_keys.sample(now, self.rate, self.fleet)
 
     def _request(self, now: float, request: Request) -> None:
         cls = self.classes.get(request.cls)
@@ -182,34 +182,34 @@
             return
         self.arrivals += 1
         if key is not None:
-            self.hot.topk.observe(key)
+            self.hot_keys.topk.observe(key)
         pending = self.pending[number] = Pending(request, cls, self.max_attempts)
-        work = 1.0 if self.by_work else self.fleet.class_latency.get(cls.name, cls.aim_ms)
+        work = 1.0 if self.worth_by_work else self.fleet.class_latency_ms.get(cls.name, cls.aim_ms)
         if self.budgets.shed(cls, work, self.rng.random()):
             self.throttle.count(False)
             self._finish(pending)
             return
         self.budgets.earn()
-        aside = self.fleet.aside and request.write
+        aside = self.fleet.cache_aside and request.write
         node = self.fleet.origin if aside else self.placement.pick(now, pending, self.rate)
         self._send(now, pending, node)
-        usual = self.fleet.class_latency.get(cls.name)
+        usual = self.fleet.class_latency_ms.get(cls.name)
         if (
             self.second_copies
-            and pending.out
+            and pending.outstanding
             and usual
             and SECOND_AFTER * usual < cls.aim_ms
             and cls.effect is not UNSAFE
         ):
             due = now + SECOND_AFTER * usual
-            if self.copies.add(now, due, number):
+            if self.hedges.add(now, due, number):
                 self.actions.append(SetTimer(due, "second"))
 
     def _seconds(self, now: float) -> None:
         """Second copies for what has waited so long; then a timer for the first that is still in hand."""
-        for number in self.copies.come(now, self.pending):
+        for number in self.hedges.come(now, self.pending):
             self._second(now, number)
-        due = self.copies.next(now)
+        due = self.hedges.next(now)
         if due is not None:
             self.actions.append(SetTimer(due, "second"))
 
@@ -220,13 +220,13 @@
             pending is None
             or pending.done
             or pending.streaming
-            or pending.arriving
-            or len(pending.out) != 1
+            or pending.body_incomplete
+            or len(pending.outstanding) != 1
             or self.budgets.retries < 1
         ):
             return
-        ((first, sent_at),) = pending.out.values()
-        more = pending.attempts < pending.most and self.throttle.pressure() <= 0
+        ((first, sent_at),) = pending.outstanding.values()
+        more = pending.attempts < pending.max_attempts and self.throttle.pressure() <= 0
         served = first.newest > (sent_at + now) / 2
         node = self.placement.pick(now, pending, self.rate) if more and served else None
         if node is not None:
@@ -238,7 +238,7 @@
         if (
             node is None
             or left <= 0
-            or attempts >= pending.most
+            or attempts >= pending.max_attempts
             or node.member.state is not READY
             or now >= pending.until
             or (attempts and not pending.may_go(node, now))
@@ -246,18 +246,18 @@
             self._finish(pending)
             return
         timeout = None
-        if node.fails or node.mutes:
+        if node.failures or node.mutes:
             mute = node.mutes.get(pending.cls.name)
-            doubtful = node.fails > 0 or (mute is not None and mute.fails >= SUSPECT_AFTER)
+            doubtful = node.failures > 0 or (mute is not None and mute.failures >= SUSPECT_AFTER)
             if (
                 doubtful
-                and attempts + 1 < pending.most
+                and attempts + 1 < pending.max_attempts
                 and pending.cls.effect is SAFE
-                and not pending.arriving
+                and not pending.body_incomplete
             ):
                 timeout = left * TRIAL_SHARE
         before = pending.before()
-        pending.out[attempts] = node, now
+        pending.outstanding[attempts] = node, now
         pending.attempts = attempts + 1
         pending.tried = *pending.tried, node
         self.fleet.sent(node, now, pending.cls.name, (pending.request.id, attempts))
@@ -265,9 +265,9 @@
 
     def _outcome(self, now: float, outcome: Outcome) -> None:
         pending = self.pending.get(outcome.id)
-        if pending is None or outcome.attempt not in pending.out:
+        if pending is None or outcome.attempt not in pending.outstanding:
             return
-        node, status = pending.out[outcome.attempt][0], outcome.status
+        node, status = pending.outstanding[outcome.attempt][0], outcome.status
         self.fleet.ended(now, node, outcome, pending.cls)
         pending.ended(outcome.attempt, status)
         if status not in SILENT:
@@ -276,11 +276,11 @@
             self.throttle.count(in_time)
         if status is OK or outcome.closed:
             pending.done = True
-            if pending.out:
+            if pending.outstanding:
                 self._cancel(pending)
-        elif not pending.done and not pending.out and not pending.streaming:
+        elif not pending.done and not pending.outstanding and not pending.streaming:
             self._further(now, pending, status)
-        if pending.done and not pending.out:
+        if pending.done and not pending.outstanding:
             self.pending.pop(outcome.id, None)
 
     def _further(self, now: float, pending: Pending, status: Status) -> None:
@@ -296,14 +296,14 @@
             self._finish(pending)
             return
         self.budgets.retries -= ran
-        node = None if self.fleet.aside and write else self.placement.pick(now, pending, self.rate)
+        node = None if self.fleet.cache_aside and write else self.placement.pick(now, pending, self.rate)
         self._send(now, pending, node)
 
     def _finish(self, pending: Pending) -> None:
         if not pending.done:
             pending.done = True
             self.actions.append((Refuse if pending.may_refuse() else Fail)(pending.request.id))
-        if not pending.out:
+        if not pending.outstanding:
             self.pending.pop(pending.request.id, None)
 
     def _close(self, request_id: int) -> None:
@@ -311,9 +311,9 @@
         if pending is not None:
             pending.done = True
             self._cancel(pending)
-            if not pending.out:
+            if not pending.outstanding:
                 del self.pending[request_id]
 
     def _cancel(self, pending: Pending, but: int = -1) -> None:
         if self.settings.limits.cancel:
-            self.actions.extend(Cancel(pending.request.id, a) for a in pending.out if a != but)
+            self.actions.extend(Cancel(pending.request.id, a) for a in pending.outstanding if a != but)
--- a/notchflow/policy/fleet.py
+++ b/notchflow/policy/fleet.py
@@ -7,7 +7,7 @@
 
 from notchflow.interface import ListKind, Member, Membership, Outcome, RequestClass, Settings, State
 from notchflow.policy.health import failed, listen
-from notchflow.policy.kinds import Beliefs, Steps, estimator
+from notchflow.policy.kinds import Beliefs, Steps, select_estimator
 from notchflow.policy.nodes import (
     ANSWERED,
     CONNECT_FAILED,
@@ -19,8 +19,8 @@
     TIMEOUT,
     Node,
 )
-from notchflow.policy.order import Order
-from notchflow.policy.shares import many
+from notchflow.policy.rendezvous import Order
+from notchflow.policy.instance_count import many
 
 BOUND: Final = 1.6
 BOUND_MIN: Final = 4.0  # in flight below which the bound never acts
@@ -49,7 +49,7 @@
         self.origin: Node | None = None
         self.ordered = Order()
         self.order, self.all_places = self.ordered.head, self.ordered.all_places  # asked with every request
-        self.class_latency: dict[str, float] = {}
+        self.class_latency_ms: dict[str, float] = {}
         self.several_kinds = False  # among the servers that are ready
         self.in_flight = 0
         self.latency = 0.0  # usual, of all classes
@@ -60,9 +60,9 @@
     def state(self, settings: Settings) -> None:
         """The settings state other figures."""
         self.settings = settings
-        self.aside = settings.origin_kind is not None
-        self.many = many(settings.balancers)
-        self.kinds = estimator(self.many, self.kinds)
+        self.cache_aside = settings.origin_kind is not None
+        self.many_instances = many(settings.balancers)
+        self.kinds = select_estimator(self.many_instances, self.kinds)
         self.cold_multiple = COLD_CARRIED * settings.rules.overload_factor
 
     # -- the list
@@ -119,12 +119,12 @@
         """Warms up cold servers and corrects the weights of kinds."""
         for node in self.ready:
             node.throttle.fade()
-        if self.many and self.ready:
+        if self.many_instances and self.ready:
             slows = sorted(self._faded(n, now) for n in self.ready)
             self.usual = max(1.0, slows[(len(slows) - 1) // 2])
         if now >= self.learned_at + LEARN_MS:
             self.learned_at = now
-            if self.kinds.step(now):
+            if self.kinds.update_weights(now):
                 self.reweigh(now)
         if self.warmed_at < self.cold_until and now >= self.warmed_at + WARM_STEP_MS:
             self.reweigh(now)
@@ -157,15 +157,15 @@
         """How slow a server is, as a multiple of the fleet. By Little's law that is also what all balancers
         together have in flight there, as a multiple of what is due to it."""
         slow = self._faded(node, now)
-        if node.out and self.latency:
-            slow = max(slow, (now - next(iter(node.out.values()))) / self.latency)
+        if node.outstanding and self.latency:
+            slow = max(slow, (now - next(iter(node.outstanding.values()))) / self.latency)
         return slow
 
     def burden(self, node: Node, now: float) -> float:
         """What a server has in hand for what it can do. One of many balancers has nothing in flight at most:
         by its own counts alone each of them would choose the largest, whatever that suffers from."""
         load = (node.in_flight + 1) / max(node.weight, 1e-9)
-        return load * self.slowness(node, now) if self.many else load
+        return load * self.slowness(node, now) if self.many_instances else load
 
     def crowded(self, node: Node, now: float, draw: float) -> bool:
         """The load bound where many balancers each have too little in flight to see it. A part goes there all
@@ -173,7 +173,7 @@
         slow = self.slowness(node, now) / self.usual
         return slow > BOUND and draw >= (BOUND / slow) ** SLOW_POWER
 
-    def overspent(self, node: Node, now: float, rate: float, good: float = 1.0) -> bool:
+    def cold_budget_spent(self, node: Node, now: float, rate: float, good: float = 1.0) -> bool:
         """A cold server whose budget with this instance is spent, or may be from the life before this one.
         `good`: the part of what is asked for that is answered in time; a budget follows it in a jam."""
         if not self.cold(node, now):
@@ -199,7 +199,7 @@
 
     # -- what was seen
     def sent(self, node: Node, now: float, cls: str, attempt: tuple[int, int]) -> None:
-        node.out[attempt] = now
+        node.outstanding[attempt] = now
         if cls in node.mutes:
             node.mutes[cls].out += 1
         node.in_flight += 1
@@ -210,17 +210,17 @@
 
     def ended(self, now: float, node: Node, outcome: Outcome, cls: RequestClass) -> None:
         """An attempt ended: latencies and health follow from it."""
-        node.out.pop((outcome.id, outcome.attempt), None)
+        node.outstanding.pop((outcome.id, outcome.attempt), None)
         node.in_flight = max(0, node.in_flight - 1)
         self.in_flight = max(0, self.in_flight - 1)
         status = outcome.status
         if status is not OK or node.mutes:
-            listen(now, node, outcome, cls, self.class_latency.get(cls.name, math.inf), self.ready)
+            listen(now, node, outcome, cls, self.class_latency_ms.get(cls.name, math.inf), self.ready)
         if status in ANSWERED:
             node.answered_at = now  # whatever it says, it is alive
             if now - outcome.latency_ms > node.newest:
                 node.newest = now - outcome.latency_ms
-            node.fails, node.ejected_until, node.pause, node.trial = 0, 0.0, EJECT_MS, False
+            node.failures, node.ejected_until, node.pause, node.trial = 0, 0.0, EJECT_MS, False
         elif status is CONNECT_FAILED or (
             status in (TIMEOUT, RESET) and node.answered_at < now - outcome.latency_ms
         ):
@@ -228,13 +228,13 @@
         ratio = 0.0
         if status is OK and outcome.hit is not False:
             took = outcome.latency_ms
-            mean = self.class_latency.get(cls.name, took)
-            self.class_latency[cls.name] = mean + SMOOTH * (took - mean)
+            mean = self.class_latency_ms.get(cls.name, took)
+            self.class_latency_ms[cls.name] = mean + SMOOTH * (took - mean)
             self.latency += SMOOTH * (took - self.latency) if self.latency else took
             ratio = min(took / (mean if mean > 0.1 else 0.1), REFUSED_RATIO)
         elif status in (FULL, TIMEOUT):  # else a kind that answers little in time seems fast
             ratio = REFUSED_RATIO
         if ratio:
-            if self.many:
+            if self.many_instances:
                 self._slow(now, node, ratio)
-            self.kinds.heard(node.member.kind, ratio, now - outcome.latency_ms)
+            self.kinds.add_answer(node.member.kind, ratio, now - outcome.latency_ms)
--- a/notchflow/policy/handover.py
+++ b/notchflow/policy/handover.py
@@ -17,13 +17,13 @@
     return {
         **fleet.kinds.told(),
         **hot.told(),
-        "classes": fleet.class_latency,
+        "classes": fleet.class_latency_ms,
         "cost": budgets.mean_cost,
         "rate": rate / 2,  # both serve for a while, and the two count cold servers' budgets apart
         "health": {
-            str(n.id): [n.fails, max(n.ejected_until - now, 0.0), n.pause, n.trial]
+            str(n.id): [n.failures, max(n.ejected_until - now, 0.0), n.pause, n.trial]
             for n in fleet.nodes.values()
-            if n.fails
+            if n.failures
         },
     }
 
@@ -38,10 +38,10 @@
     kinds = type(fleet.kinds)()
     kinds.take(told)
     hot.take(now, told, rate)
-    fleet.kinds, fleet.class_latency, budgets.mean_cost = kinds, classes, cost
+    fleet.kinds, fleet.class_latency_ms, budgets.mean_cost = kinds, classes, cost
     for node, fails, out, pause, trial in health:
         if node is not None:
-            node.fails, node.pause, node.trial = fails, min(pause, EJECT_MAX_MS), trial
+            node.failures, node.pause, node.trial = fails, min(pause, EJECT_MAX_MS), trial
             node.ejected_until = now + min(out, EJECT_MAX_MS)
     fleet.reweigh(now)
     return rate
--- a/notchflow/policy/health.py
+++ b/notchflow/policy/health.py
@@ -35,8 +35,8 @@
     if mute is not None:
         mute.out = max(0, mute.out - 1)
         if status in (OK, MISS):
-            mute.fails, mute.until = mute.fails - 1, 0.0
-            if mute.fails <= 0:
+            mute.failures, mute.until = mute.failures - 1, 0.0
+            if mute.failures <= 0:
                 del node.mutes[cls]
     if status in (TIMEOUT, CANCELLED):
         trial = mute is not None and mute.until > 0
@@ -46,8 +46,8 @@
     elif status not in (ERROR, RESET):
         return
     mute = node.mutes.setdefault(cls, Mute())
-    mute.fails = min(mute.fails + 1, MUTE_AFTER)
-    if mute.fails < MUTE_AFTER or mute.until > now:
+    mute.failures = min(mute.failures + 1, MUTE_AFTER)
+    if mute.failures < MUTE_AFTER or mute.until > now:
         return
     silent = sum(1 for n in ready if cls in n.mutes and n.mutes[cls].until > now)
     if silent < MUTE_SHARE * len(ready):
@@ -58,8 +58,8 @@
 def failed(now: float, node: Node, refused: bool, ready: Sequence[Node]) -> None:
     """No sign of life. Servers that are merely slow look like this too, then many at once do: time-outs
     alone eject only a part of the fleet; a connection that cannot be opened is proof enough."""
-    node.fails += 1
-    if node.fails < SUSPECT_AFTER or node.ejected_until > now:
+    node.failures += 1
+    if node.failures < SUSPECT_AFTER or node.ejected_until > now:
         return
     if refused or sum(n.ejected_until > now for n in ready) < QUIET_SHARE * len(ready):
         node.ejected_until = now + node.pause
--- a/notchflow/policy/hot_keys.py
+++ b/notchflow/policy/hot_keys.py
@@ -38,7 +38,7 @@
         self.rng = rng
         self.capacity = FIFO_MIN
         self.fifo: list[str] = []
-        self.held: dict[str, int] = {}  # how often each key stands in the FIFO
+        self.fifo_counts: dict[str, int] = {}  # how often each key stands in the FIFO
         self.counters: dict[str, float] = {}
         self.historical: dict[str, float] = {}
         self.prior: dict[str, float] = {}  # rate with which a key entered the historical list
@@ -54,7 +54,7 @@
         if key in self.historical:
             self.historical[key] += 1
             return
-        fifo, held = self.fifo, self.held
+        fifo, held = self.fifo, self.fifo_counts
         entries, here = len(fifo), held.get(key, 0)
         if entries:
             draws = entries if entries < COMPARISONS else COMPARISONS
@@ -82,7 +82,7 @@
         return matches
 
     def _forget(self, count: int) -> None:
-        held = self.held
+        held = self.fifo_counts
         for key in self.fifo[:count]:
             if held[key] == 1:
                 del held[key]
@@ -100,7 +100,7 @@
         """The part of lately seen requests that asked for a key, the present one left out."""
         if key in self.historical:
             return self._known_rate(key)
-        return (self.held.get(key, 1) - 1) / max(len(self.fifo), 1)
+        return (self.fifo_counts.get(key, 1) - 1) / max(len(self.fifo), 1)
 
     def _known_rate(self, key: str) -> float:
         return (self.historical[key] + PRIOR_REQUESTS * self.prior[key]) / (self.seen + PRIOR_REQUESTS)
@@ -197,7 +197,7 @@
         if topk.historical.keys() != topk.prior.keys():
             raise ValueError("the historical list has keys without their rates")
         topk.fifo = [str(key) for key in told["topk"]["fifo"]][-FIFO_MAX:]
-        topk.held = dict(Counter(topk.fifo))
+        topk.fifo_counts = dict(Counter(topk.fifo))
         spread = {str(key): (int(width), now) for key, width in told["spread"].items()}
         factoring = bool(told["factoring"])
         self.threshold.history.extend(load)
--- a/notchflow/policy/kinds.py
+++ b/notchflow/policy/kinds.py
@@ -34,13 +34,13 @@
         self.weights: dict[str, float] = {}
         self.slow: dict[str, list[float]] = {}  # kind -> sum and count of relative latencies lately
 
-    def heard(self, kind: str, ratio: float, sent_at: float) -> None:
+    def add_answer(self, kind: str, ratio: float, sent_at: float) -> None:
         """An answer took so many times what is usual for its class."""
         total = self.slow.setdefault(kind, [0.0, 0.0])
         total[0] += ratio
         total[1] += 1
 
-    def step(self, now: float) -> bool:
+    def update_weights(self, now: float) -> bool:
         """Corrects the weights; whether one changed."""
         means = {k: s / n for k, (s, n) in sorted(self.slow.items()) if n >= LEARN_SURE**2}
         if len(means) < 2:
@@ -94,7 +94,7 @@
         self.weights: dict[str, float] = {}
         self.changed_at = self.stepped_at = -math.inf
 
-    def heard(self, kind: str, ratio: float, sent_at: float) -> None:
+    def add_answer(self, kind: str, ratio: float, sent_at: float) -> None:
         """An answer took so many times what is usual. One sent under former weights would tell of those."""
         belief = self.beliefs.get(kind)
         if belief is None:
@@ -108,7 +108,7 @@
         belief = self.beliefs.get(kind)
         return math.exp(-CAUTION * (belief.var if belief is not None else PRIOR_VAR))
 
-    def step(self, now: float) -> bool:
+    def update_weights(self, now: float) -> bool:
         """Takes in what was heard since the last step; whether a weight changed."""
         span = min(now - self.stepped_at, 60_000.0) / 1000 if self.stepped_at > -math.inf else 0.0
         self.stepped_at = now
@@ -153,7 +153,7 @@
         self._weigh()
 
 
-def estimator(many: bool, known: Steps | Beliefs | None = None) -> Steps | Beliefs:
+def select_estimator(many: bool, known: Steps | Beliefs | None = None) -> Steps | Beliefs:
     """The one that fits the number of balancers; it begins with what another has learned."""
     begun = Beliefs() if many else Steps()
     if known is not None:
--- a/notchflow/policy/nodes.py
+++ b/notchflow/policy/nodes.py
@@ -54,10 +54,10 @@
 class Mute:
     """A class that a server has lately failed, while it served others."""
 
-    __slots__ = ("fails", "until", "pause", "out")
+    __slots__ = ("failures", "until", "pause", "out")
 
     def __init__(self) -> None:
-        self.fails = 0  # less the answers since
+        self.failures = 0  # less the answers since
         self.until = 0.0
         self.pause = EJECT_MS
         self.out = 0  # attempts since it first failed: one at a time tries whether it still does
@@ -75,7 +75,7 @@
         "member",
         "weight",
         "in_flight",
-        "fails",
+        "failures",
         "answered_at",
         "cold_until",
         "ejected_until",
@@ -87,7 +87,7 @@
         "mutes",
         "slow",
         "slow_at",
-        "out",
+        "outstanding",
         "tokens",
         "refilled_at",
     )
@@ -96,14 +96,14 @@
         self.id = member.node
         self.salt = mixed(member.node)
         self.in_flight = 0
-        self.out: dict[tuple[int, int], float] = {}  # attempts under way: when each was sent
+        self.outstanding: dict[tuple[int, int], float] = {}  # attempts under way: when each was sent
         self.cold_until = -math.inf
         self.restart(member)
 
     def restart(self, member: Member) -> None:
         self.member = member
         self.weight = 0.0
-        self.fails = 0
+        self.failures = 0
         self.answered_at = self.newest = -math.inf
         self.ejected_until = 0.0
         self.pause = EJECT_MS
--- a/notchflow/policy/pending.py
+++ b/notchflow/policy/pending.py
@@ -20,21 +20,21 @@
         "request",
         "cls",
         "deadline",
-        "arriving",
-        "out",
+        "body_incomplete",
+        "outstanding",
         "tried",
         "may_have_run",
         "attempts",
-        "most",
+        "max_attempts",
         "done",
         "streaming",
         "until",
     )
 
     def __init__(self, request: Request, cls: RequestClass, most: int) -> None:
-        self.request, self.cls, self.most = request, cls, most
-        self.deadline, self.arriving = request.deadline, request.arriving
-        self.out: dict[int, tuple[Node, float]] = {}
+        self.request, self.cls, self.max_attempts = request, cls, most
+        self.deadline, self.body_incomplete = request.deadline, request.body_incomplete
+        self.outstanding: dict[int, tuple[Node, float]] = {}
         self.tried: tuple[Node, ...] = ()
         self.may_have_run: tuple[tuple[Node, float], ...] = ()
         self.attempts = 0
@@ -46,7 +46,7 @@
             self.until = request.earlier + window
 
     def ended(self, attempt: int, status: Status) -> None:
-        sent = self.out.pop(attempt)
+        sent = self.outstanding.pop(attempt)
         if not status.never_ran:
             self.may_have_run = *self.may_have_run, sent
 
@@ -54,7 +54,7 @@
         """From when on no attempt may begin: servers forget what may have run under its key."""
         if self.cls.effect is not Effect.KEYED:
             return self.until
-        earliest = min((at for _, at in (*self.may_have_run, *self.out.values())), default=math.inf)
+        earliest = min((at for _, at in (*self.may_have_run, *self.outstanding.values())), default=math.inf)
         return min(self.until, earliest + self.cls.window_ms - WINDOW_MARGIN_MS)
 
     def allows(self, node: Node, now: float) -> bool:
@@ -65,7 +65,7 @@
     def may_go(self, node: Node, now: float) -> bool:
         if self.cls.effect is SAFE:
             return True
-        earlier = [*self.may_have_run, *self.out.values()]
+        earlier = [*self.may_have_run, *self.outstanding.values()]
         if self.cls.effect is UNSAFE or not earlier:
             return not earlier
         if now >= self.before():
@@ -75,7 +75,7 @@
         return near and (group is not Group.CELL or all(member.cell == here.cell for member in there))
 
     def may_refuse(self) -> bool:
-        if self.cls.effect is SAFE or not (self.may_have_run or self.out):
+        if self.cls.effect is SAFE or not (self.may_have_run or self.outstanding):
             return True
         return self.cls.effect is Effect.KEYED and self.cls.group is Group.ALL
 
--- a/tests/crossings/forced.py
+++ b/tests/crossings/forced.py
@@ -46,7 +46,7 @@
     await until(lambda: sum(len(node.open) for node in rig.nodes) >= idle)  # all accepted: can be ended
     assert (host.held, host.used) == (0, idle)
     assert not host.balancer.pending and not host.balancer.fleet.in_flight
-    assert not any(node.in_flight or node.out for node in host.balancer.fleet.nodes.values())
+    assert not any(node.in_flight or node.outstanding for node in host.balancer.fleet.nodes.values())
 
 
 def ends_sending(client: Client) -> None:
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -122,7 +122,7 @@
 
     async def test() -> None:
         async with rig_of(held, held, cancel=False) as rig:
-            rig.host.balancer.fleet.class_latency["read"] = 50.0  # a second copy is due after 150 ms
+            rig.host.balancer.fleet.class_latency_ms["read"] = 50.0  # a second copy is due after 150 ms
             client, other = await rig.connect(), await rig.connect()
             dials = Dials(rig, free=2)
             client.send(path="/api/00aa?held")
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -184,14 +184,14 @@
             await serve_value(seen, writer)
 
         async with rig_of(held, held, cancel=False) as rig:
-            rig.host.balancer.fleet.class_latency["read"] = 50.0  # a second copy is due after 150 ms
+            rig.host.balancer.fleet.class_latency_ms["read"] = 50.0  # a second copy is due after 150 ms
             client, other = await rig.connect(), await rig.connect()
             client.send(path="/api/00aa?held")
             await until(lambda: rig.sent)
             number = next(iter(rig.host.open))
             end(client)
             await seen_to_go(rig, client)
-            copies = rig.host.balancer.copies
+            copies = rig.host.balancer.hedges
             while any(asked == number for _, asked in copies.queue):  # what came later is served: no queue
                 await other.ask(path="/api/00aa")
             assert sum("held" in s.line for node in rig.nodes for s in node.seen) == 1
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -59,9 +59,9 @@
         "of": module.classes,
         "most": module.max_attempts,
         "copies": module.second_copies,
-        "worth": module.by_work,
-        "aside": module.fleet.aside,
-        "many": module.fleet.many,
+        "worth": module.worth_by_work,
+        "aside": module.fleet.cache_aside,
+        "many": module.fleet.many_instances,
         "kinds": type(module.fleet.kinds),
         "rules": watch.rules,
         "asked": watch.asked,
@@ -118,7 +118,7 @@
             await until(lambda: rig.sent)
             rig.host.reload(replace(rig.host.config, settings=OTHER))
             (pending,) = rig.host.balancer.pending.values()
-            assert pending.cls.effect is Effect.UNSAFE and pending.most == 2
+            assert pending.cls.effect is Effect.UNSAFE and pending.max_attempts == 2
             assert (await rig.ask(X_Call_Class="buy")).status == 503, "of no class that is known"
             assert rig.sent == 1
             gate.open.set()
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -37,9 +37,9 @@
     assert [ledger.broken for ledger, _ in now] == [[], []]
 
     def floor_alone(self: Placement, node: Node, at: float, key: str | None, rate: float) -> bool:
-        return not self.fleet.overspent(node, at, rate)
+        return not self.fleet.cold_budget_spent(node, at, rate)
 
-    monkeypatch.setattr(Placement, "_may_warm", floor_alone)
+    monkeypatch.setattr(Placement, "_may_use_cold", floor_alone)
     before = [played(day) for day in days]
     assert sum(worst for _, worst in now) < 0.75 * sum(worst for _, worst in before)
 
@@ -52,7 +52,7 @@
     def steps(many: bool, known: kinds.Steps | kinds.Beliefs | None = None) -> kinds.Steps:
         return known if isinstance(known, kinds.Steps) else kinds.Steps()
 
-    monkeypatch.setattr(policy_fleet, "estimator", steps)
+    monkeypatch.setattr(policy_fleet, "select_estimator", steps)
     before = sum(played(replace(day, seed=seed))[0].share_in_time(2_000.0, 7_000.0) for seed in (1, 2))
     assert now > before
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,12 +59,12 @@
     return balancer
 
 
-def key(number: int) -> str:
+def make_key(number: int) -> str:
     return f"{number * 2654435761 % 2**64:016x}"
 
 
-def ask(number: int, now: float, cls: str = "read", k: str | None = "use-number", **more: Any) -> Request:
-    own = key(number) if k == "use-number" else k
+def make_request(number: int, now: float, cls: str = "read", key: str | None = "use-number", **more: Any) -> Request:
+    own = make_key(number) if key == "use-number" else key
     return Request(id=number, cls=cls, deadline=now + 900, key=own, **more)
 
 
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -18,7 +18,7 @@
 from notchflow.net.listing import node_id
 from notchflow.net.succession import Link, Place, Succession
 from notchflow.operations.handover import FORMAT, HEAD, MAGIC, HandoverError, Reader, Shares, pack
-from tests.helpers import ask, make_balancer, make_settings, sends
+from tests.helpers import make_request, make_balancer, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
 
 ANY = ("127.0.0.1", 0)
@@ -64,24 +64,24 @@
 def learned() -> tuple[Any, dict[str, Any]]:
     balancer = make_balancer()
     for number in range(400):
-        send = sends(balancer.handle(number * 5.0, ask(number, number * 5.0, k=f"{number % 20:016x}")))[0]
+        send = sends(balancer.handle(number * 5.0, make_request(number, number * 5.0, key=f"{number % 20:016x}")))[0]
         balancer.handle(number * 5.0 + 4, Outcome(number, 0, send.node, Status.OK, 12.0, closed=True))
     for number in (900, 901):
-        send = sends(balancer.handle(2_000, ask(number, 2_000, k="00")))[0]
+        send = sends(balancer.handle(2_000, make_request(number, 2_000, key="00")))[0]
         balancer.handle(2_010, Outcome(number, 0, send.node, Status.CONNECT_FAILED, 10))
-    return balancer, json.loads(json.dumps(balancer.learned(2_020)))
+    return balancer, json.loads(json.dumps(balancer.export_state(2_020)))
 
 
 def test_the_module_goes_on_with_what_another_has_learned() -> None:
     old, told = learned()
     new = make_balancer(now=50_000)
-    new.learn(50_000, told)
-    assert new.fleet.class_latency == old.fleet.class_latency
-    assert new.hot.topk.counters == old.hot.topk.counters and new.hot.topk.held == old.hot.topk.held
+    new.restore_state(50_000, told)
+    assert new.fleet.class_latency_ms == old.fleet.class_latency_ms
+    assert new.hot_keys.topk.counters == old.hot_keys.topk.counters and new.hot_keys.topk.fifo_counts == old.hot_keys.topk.fifo_counts
     assert new.fleet.order("0a")[0].id == old.fleet.order("0a")[0].id
-    out = {n.id: n.fails for n in old.fleet.nodes.values() if n.fails}
-    assert out and {n.id: n.fails for n in new.fleet.nodes.values() if n.fails} == out
-    assert sends(new.handle(50_001, ask(1, 50_001)))
+    out = {n.id: n.failures for n in old.fleet.nodes.values() if n.failures}
+    assert out and {n.id: n.failures for n in new.fleet.nodes.values() if n.failures} == out
+    assert sends(new.handle(50_001, make_request(1, 50_001)))
 
 
 @pytest.mark.parametrize(
@@ -100,10 +100,10 @@
 def test_what_is_malformed_changes_nothing(change: dict[str, Any]) -> None:
     _, told = learned()
     new = make_balancer()
-    before = new.learned(0)
+    before = new.export_state(0)
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
-        new.learn(0, told | change)
-    assert new.learned(0) == before
+        new.restore_state(0, told | change)
+    assert new.export_state(0) == before
 
 
 async def successor(rig: Rig, folder: Path, listener: socket.socket) -> Host:
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from notchflow.interface import Effect, Fail, Limits, Outcome, Refuse, RequestClass, Retune, Send, Status
+from notchflow.interface import Effect, Fail, Limits, Outcome, Refuse, RequestClass, SettingsChanged, Send, Status
 from notchflow.net.config import ConfigError, load, reload
 from notchflow.net.process import on_hangup
 from notchflow.operations.shape import missing, shape_of
-from tests.helpers import LIMITS, ask, make_balancer, make_settings, sends
+from tests.helpers import LIMITS, make_request, make_balancer, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, until
 
 CLASS = {"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 500, "Effect": "repeatable"}
@@ -180,40 +180,40 @@
 
 
 def retune(balancer: Any, now: float, **changes: Any) -> None:
-    assert balancer.handle(now, Retune(make_settings(**changes))) == []
+    assert balancer.handle(now, SettingsChanged(make_settings(**changes))) == []
 
 
 def test_a_stricter_effect_binds_what_comes_later_alone() -> None:
     balancer = make_balancer()
-    first = sends(balancer.handle(10, ask(1, 10, "read")))[0]
+    first = sends(balancer.handle(10, make_request(1, 10, "read")))[0]
     retune(balancer, 20, classes=(RequestClass("read", 300, 1000, effect=Effect.UNSAFE),))
     again = balancer.handle(30, Outcome(1, 0, first.node, Status.RESET, 20))
     assert isinstance(again[0], Send), "it was safe to repeat when it was taken"
-    later = sends(balancer.handle(40, ask(2, 40, "read")))[0]
+    later = sends(balancer.handle(40, make_request(2, 40, "read")))[0]
     assert balancer.handle(50, Outcome(2, 0, later.node, Status.RESET, 10)) == [Fail(2)]
 
 
 def test_fewer_attempts_hold_at_once_and_more_for_later_ones() -> None:
     balancer = make_balancer(limits=Limits(max_attempts=3))
-    first = sends(balancer.handle(10, ask(1, 10)))[0]
+    first = sends(balancer.handle(10, make_request(1, 10)))[0]
     retune(balancer, 20, limits=Limits(max_attempts=1))
     assert balancer.handle(30, Outcome(1, 0, first.node, Status.FULL, 20)) == [Refuse(1)]
-    second = sends(balancer.handle(40, ask(2, 40)))[0]
+    second = sends(balancer.handle(40, make_request(2, 40)))[0]
     retune(balancer, 50, limits=Limits(max_attempts=3))
     assert balancer.handle(60, Outcome(2, 0, second.node, Status.FULL, 20)) == [Refuse(2)]
-    third = sends(balancer.handle(70, ask(3, 70)))[0]
+    third = sends(balancer.handle(70, make_request(3, 70)))[0]
     assert isinstance(balancer.handle(80, Outcome(3, 0, third.node, Status.FULL, 10))[0], Send)
 
 
 def test_what_was_learned_stays() -> None:
     balancer = make_balancer()
     for number in range(200):
-        send = sends(balancer.handle(number, ask(number, number)))[0]
+        send = sends(balancer.handle(number, make_request(number, number)))[0]
         balancer.handle(number + 0.5, Outcome(number, 0, send.node, Status.OK, 12.0, closed=True))
     node = next(iter(balancer.fleet.nodes.values()))
     node.ejected_until = 9_000.0
-    latency, order = dict(balancer.fleet.class_latency), balancer.fleet.order("aa")
+    latency, order = dict(balancer.fleet.class_latency_ms), balancer.fleet.order("aa")
     retune(balancer, 300, limits=LIMITS, classes=(*make_settings().classes, RequestClass("new", 100, 200)))
-    assert balancer.fleet.class_latency == latency and balancer.fleet.order("aa") == order
+    assert balancer.fleet.class_latency_ms == latency and balancer.fleet.order("aa") == order
     assert node.ejected_until == 9_000.0
-    assert sends(balancer.handle(301, ask(900, 301, "new")))
+    assert sends(balancer.handle(301, make_request(900, 301, "new")))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from notchflow.interface import Arrived, Outcome, Request, Send, Spent, Status, Timer
+from notchflow.interface import BodyArrived, Outcome, Request, Send, BodyDiscarded, Status, Timer
 from notchflow.net import client as downstream
 from notchflow.net import connection
 from notchflow.net.client import STALLED_MS
@@ -243,7 +243,7 @@
             writer.transport.abort()
 
         async with BodyRig(breaks, breaks, memory_mb=64) as rig:
-            told = rig.told(Spent)
+            told = rig.told(BodyDiscarded)
             body = body_of(16 * MB)
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
@@ -362,14 +362,14 @@
     for number in range(40):  # learns what is usual
         (sent,) = sends(balancer.handle(number, Request(number, "keyed", 5_000, "k", write=True)))
         balancer.handle(number + 1, Outcome(number, 0, sent.node, Status.OK, 1.0, True))
-    (sent,) = sends(balancer.handle(100, Request(100, "keyed", 90_000, "k", write=True, arriving=True)))
-    node = balancer.pending[100].out[0][0]
+    (sent,) = sends(balancer.handle(100, Request(100, "keyed", 90_000, "k", write=True, body_incomplete=True)))
+    node = balancer.pending[100].outstanding[0][0]
     node.newest = 1e9  # what was sent there later has been served
     late = [a for a in balancer.handle(5_000, Timer("second")) if isinstance(a, Send)]
     assert not late
-    balancer.handle(5_001, Arrived(100, 6_000))
+    balancer.handle(5_001, BodyArrived(100, 6_000))
     assert balancer.pending[100].deadline == 6_000
-    balancer.handle(5_002, Spent(100))
+    balancer.handle(5_002, BodyDiscarded(100))
     assert not sends(balancer.handle(5_003, Outcome(100, 0, sent.node, Status.FULL))), "no attempt anew"
 
 
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -8,8 +8,8 @@
 import pytest
 
 from benchmarks.kinds import SAME, TWO, play
-from notchflow.interface import ListKind, Member, Membership, Retune
-from notchflow.policy.kinds import PRIOR_VAR, Beliefs, Steps, estimator
+from notchflow.interface import ListKind, Member, Membership, SettingsChanged
+from notchflow.policy.kinds import PRIOR_VAR, Beliefs, Steps, select_estimator
 from tests.helpers import make_balancer, make_settings
 
 
@@ -18,8 +18,8 @@
     for second in range(seconds):
         for _ in range(10):
             for kind, mean in (("x", 1 / slow), ("y", slow)):
-                beliefs.heard(kind, rng.expovariate(1 / mean), second * 1000.0 + 500)
-        beliefs.step(second * 1000.0 + 1000)
+                beliefs.add_answer(kind, rng.expovariate(1 / mean), second * 1000.0 + 500)
+        beliefs.update_weights(second * 1000.0 + 1000)
 
 
 def test_two_seconds_at_a_trickle_tell_kinds_apart() -> None:
@@ -37,7 +37,7 @@
         hear(beliefs, seconds, 1.0)
         variances.append(beliefs.beliefs["x"].var)
     assert variances == sorted(variances, reverse=True)
-    beliefs.step(60_000.0)
+    beliefs.update_weights(60_000.0)
     assert beliefs.beliefs["x"].var > variances[-1]
 
 
@@ -46,9 +46,9 @@
     hear(beliefs, 2, 2.0)
     before = beliefs.weights
     for _ in range(50):
-        beliefs.heard("x", 5.0, beliefs.changed_at - 1)
-        beliefs.heard("y", 0.2, beliefs.changed_at - 1)
-    assert not beliefs.step(3_000.0) and beliefs.weights == before
+        beliefs.add_answer("x", 5.0, beliefs.changed_at - 1)
+        beliefs.add_answer("y", 0.2, beliefs.changed_at - 1)
+    assert not beliefs.update_weights(3_000.0) and beliefs.weights == before
 
 
 def test_it_knows_sooner_than_steps_do_and_leaves_equal_kinds_nearly_alone() -> None:
@@ -98,8 +98,8 @@
     balancer = make_balancer(8)
     assert isinstance(balancer.fleet.kinds, Steps)
     balancer.fleet.kinds.weights = {"x": 2.0, "y": 0.5}
-    balancer.handle(1.0, Retune(make_settings(balancers=40)))
+    balancer.handle(1.0, SettingsChanged(make_settings(balancers=40)))
     assert isinstance(balancer.fleet.kinds, Beliefs)
     assert balancer.fleet.kinds.weights == pytest.approx({"x": 2.0, "y": 0.5})
     known = balancer.fleet.kinds
-    assert estimator(True, known) is known
+    assert select_estimator(True, known) is known
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -23,14 +23,14 @@
 from notchflow.policy.fleet import Fleet
 from notchflow.policy.hot_keys import COMPARISONS, LOAD_SPREAD, FastTopK, Threshold
 from notchflow.policy.nodes import mixed
-from notchflow.policy.order import MASK, PLACES
-from tests.helpers import ask, key, make_balancer, make_fleet, make_settings, ok, sends
+from notchflow.policy.rendezvous import MASK, PLACES
+from tests.helpers import make_request, make_key, make_balancer, make_fleet, make_settings, ok, sends
 
 
 def feed(topk: FastTopK, rng: random.Random, count: int, hot: dict[str, float]) -> None:
     names, shares = [*hot, ""], [*hot.values(), 1 - sum(hot.values())]
     for name in rng.choices(names, shares, k=count):
-        topk.observe(name or key(rng.randrange(10**9)))
+        topk.observe(name or make_key(rng.randrange(10**9)))
 
 
 def test_skewed_stream_gives_rates_near_the_true_ones() -> None:
@@ -85,25 +85,25 @@
     """Guards against the floor of each budget: two requests a second of one key, times two hundred."""
     balancer, cold = make_balancer(60, balancers=balancers), 1000
     balancer.handle(1.0, Membership(ListKind.DELTA, (Member(cold, zone="a", ready_at_ms=1.0),)))
-    k = next(key(n) for n in range(5_000) if balancer.fleet.order(key(n))[0].id == cold)
+    k = next(make_key(n) for n in range(5_000) if balancer.fleet.order(make_key(n))[0].id == cold)
     for n in range(40):  # one in eight asks for the key, as this balancer has seen
-        balancer.hot.topk.observe(k if n % 8 == 0 else key(9_000 + n))
+        balancer.hot_keys.topk.observe(k if n % 8 == 0 else make_key(9_000 + n))
     balancer.rate = 0.02
     found = 0
     for n in range(300):
         balancer.fleet.nodes[cold].cold_sent.clear()  # it is another one's turn
-        (send,) = sends(balancer.handle(10.0 + n, ask(n, 10.0 + n, k=k)))
+        (send,) = sends(balancer.handle(10.0 + n, make_request(n, 10.0 + n, key=k)))
         found += send.node == cold
         balancer.handle(10.5 + n, ok(send))
     assert found / 300 <= most and (balancers > 1 or found == 300), "one alone has its budget"
-    rare = next(key(n) for n in range(5_000, 20_000) if balancer.fleet.order(key(n))[0].id == cold)
+    rare = next(make_key(n) for n in range(5_000, 20_000) if balancer.fleet.order(make_key(n))[0].id == cold)
     balancer.fleet.nodes[cold].cold_sent.clear()
-    (send,) = sends(balancer.handle(400.0, ask(999, 400.0, k=rare)))
+    (send,) = sends(balancer.handle(400.0, make_request(999, 400.0, key=rare)))
     assert send.node == cold, "what was not asked for lately goes home"
 
 
 def homes(fleet: Fleet, keys: range) -> dict[int, int]:
-    return {k: fleet.order(key(k))[0].id for k in keys}
+    return {k: fleet.order(make_key(k))[0].id for k in keys}
 
 
 def test_adding_and_removing_a_server_moves_only_its_keys() -> None:
@@ -146,7 +146,7 @@
             counters[name] += sum(fifo[int(plain.random() * len(fifo))] == name for _ in range(draws))
         fifo.append(name)
         del fifo[: max(len(fifo) - topk.capacity, 0)]
-    assert topk.fifo == fifo and topk.held == Counter(fifo), "and it holds no more than the FIFO"
+    assert topk.fifo == fifo and topk.fifo_counts == Counter(fifo), "and it holds no more than the FIFO"
     frequent = [f"{i:x}" for i in range(8)]
     for name in frequent:
         assert counters[name] > 2_000
@@ -195,8 +195,8 @@
         if now >= next_sample:
             balancer.handle(now, Timer("sample"))
             next_sample = now + 250
-        k = "00000000000000aa" if rng.random() < share else key(rng.randrange(10**9))
-        send = sends(balancer.handle(now, ask(first_id + i, now, k=k)))[0]
+        k = "00000000000000aa" if rng.random() < share else make_key(rng.randrange(10**9))
+        send = sends(balancer.handle(now, make_request(first_id + i, now, key=k)))[0]
         if k == "00000000000000aa":
             seen[send.node] += 1
         balancer.handle(now, ok(send))
@@ -207,20 +207,20 @@
     """Guards against a hot key that no instance's own load betrays."""
     balancer = make_balancer(20)
     seen = drive(balancer, random.Random(4), 0, 400, 0.02)
-    assert len(seen) == 1 and not balancer.hot.factoring
+    assert len(seen) == 1 and not balancer.hot_keys.factoring
     seen = drive(balancer, random.Random(5), 2000, 2000, 0.3, first_id=400)
-    assert balancer.hot.factoring and len(seen) >= 5
+    assert balancer.hot_keys.factoring and len(seen) >= 5
     seen = drive(balancer, random.Random(6), 20000, 6000, 0.0, first_id=4000)
-    assert not balancer.hot.factoring and balancer.hot.topk.historical == {}
+    assert not balancer.hot_keys.factoring and balancer.hot_keys.topk.historical == {}
 
 
 def test_ordinary_keys_stay_at_home_while_factoring() -> None:
     balancer = make_balancer(20)
     drive(balancer, random.Random(5), 0, 2000, 0.3)
-    assert balancer.hot.factoring
+    assert balancer.hot_keys.factoring
     for i in range(50):
-        k = key(10**10 + i)
-        send = sends(balancer.handle(20000, ask(10**6 + i, 20000, k=k)))[0]
+        k = make_key(10**10 + i)
+        send = sends(balancer.handle(20000, make_request(10**6 + i, 20000, key=k)))[0]
         assert send.node == balancer.fleet.order(k)[0].id
         balancer.handle(20000, ok(send))
 
@@ -234,29 +234,29 @@
     for step in range(8):
         seen = drive(balancer, random.Random(step), 250 * step, 50, 0.4, first_id=1000 * step)
         widths.append(len(seen))
-        if balancer.hot.factoring:
+        if balancer.hot_keys.factoring:
             assert not {m.node for m in cold} & set(seen) or widths[-1] <= 2
     assert widths[0] == 1
-    spread = balancer.hot.spread["00000000000000aa"][0]
+    spread = balancer.hot_keys.spread["00000000000000aa"][0]
     assert 1 < spread <= 12
 
 
 def test_high_own_load_spreads_every_hot_key() -> None:
     balancer = make_balancer(4)
     drive(balancer, random.Random(5), 0, 1500, 0.1, gap=5)
-    assert not balancer.hot.factoring
+    assert not balancer.hot_keys.factoring
     for i in range(60):
-        balancer.handle(7500, ask(10**6 + i, 7500))
+        balancer.handle(7500, make_request(10**6 + i, 7500))
     for i in range(4):
         balancer.handle(7750 + 250 * i, Timer("sample"))
-    assert balancer.hot.factoring and balancer.hot.spread["00000000000000aa"][0] >= LOAD_SPREAD
+    assert balancer.hot_keys.factoring and balancer.hot_keys.spread["00000000000000aa"][0] >= LOAD_SPREAD
 
 
 def test_a_server_far_over_its_part_is_skipped() -> None:
     balancer = make_balancer(8)
-    k = key(1)
+    k = make_key(1)
     first, second = (n.id for n in balancer.fleet.order(k)[:2])
-    nodes = [sends(balancer.handle(0, ask(i, 0, k=k)))[0].node for i in range(40)]
+    nodes = [sends(balancer.handle(0, make_request(i, 0, key=k)))[0].node for i in range(40)]
     assert nodes[0] == first
     assert second in nodes
     assert Counter(nodes)[first] < 40
@@ -272,7 +272,7 @@
         balancer.handle(now, Timer("sample"))
         for _ in range(10):
             number += 1
-            send = sends(balancer.handle(now, ask(number, now)))[0]
+            send = sends(balancer.handle(now, make_request(number, now)))[0]
             balancer.handle(now + 1, ok(send, latency=10.0 if send.node % 2 else 30.0))
     assert balancer.fleet.kinds.weights["x"] > 2 * balancer.fleet.kinds.weights["y"]
 
@@ -283,7 +283,7 @@
     asked = 0
     for number in range(1, 2_000):
         now = float(number)
-        actions = balancer.handle(now, ask(number, now))
+        actions = balancer.handle(now, make_request(number, now))
         if number > 3:
             balancer.handle(now, ok(sends(actions)[0])) if number % 2 else None
         timers = [a.at for a in actions if isinstance(a, SetTimer)]
@@ -326,26 +326,26 @@
 def test_a_write_goes_to_the_least_busy_of_its_keys_places() -> None:
     """No copy serves a write, at its home or elsewhere: a queue at the home need not delay it."""
     balancer = make_balancer(8)
-    k = key(5)
+    k = make_key(5)
     order = [n.id for n in balancer.fleet.order(k)]
-    first = [sends(balancer.handle(0, ask(i, 0, "once", k, write=True)))[0].node for i in range(6)]
+    first = [sends(balancer.handle(0, make_request(i, 0, "once", k, write=True)))[0].node for i in range(6)]
     assert first == order, "each has one in turn, the home first"
-    reads = [sends(balancer.handle(1, ask(10 + i, 1, "read", k)))[0].node for i in range(2)]
+    reads = [sends(balancer.handle(1, make_request(10 + i, 1, "read", k)))[0].node for i in range(2)]
     assert reads == order[:1] * 2, "a read still goes to its home"
 
 
 def jammed_share(balancers: int, latency: float) -> float:
     """The share of a key's requests that still go home, where home answers so late, the others in 10 ms."""
     balancer = make_balancer(12, balancers=balancers)
-    k, at_home = key(3), 0
+    k, at_home = make_key(3), 0
     home = balancer.fleet.order(k)[0].id
     for i in range(200):
         now = 300.0 * i  # a trickle: never more than one in flight
-        (send,) = sends(balancer.handle(now, ask(i, now, k=k)))
+        (send,) = sends(balancer.handle(now, make_request(i, now, key=k)))
         at_home += send.node == home
         balancer.handle(now, ok(send, latency=latency if send.node == home else 10.0))
-        balancer.handle(now, ask(1000 + i, now, k=key(50 + i)))
-        balancer.handle(now, ok(Send(1000 + i, next(iter(balancer.pending[1000 + i].out.values()))[0].id)))
+        balancer.handle(now, make_request(1000 + i, now, key=make_key(50 + i)))
+        balancer.handle(now, ok(Send(1000 + i, next(iter(balancer.pending[1000 + i].outstanding.values()))[0].id)))
     return at_home / 200
 
 
@@ -360,16 +360,16 @@
 def test_a_request_that_waits_long_shows_a_crowd_before_it_is_answered() -> None:
     """Guards against learning of a jam only when its first requests run out of time."""
     balancer = make_balancer(12, balancers=40)
-    fleet, k = balancer.fleet, key(3)
+    fleet, k = balancer.fleet, make_key(3)
     for i in range(10):
-        (send,) = sends(balancer.handle(0, ask(i, 0, k=key(60 + i))))
+        (send,) = sends(balancer.handle(0, make_request(i, 0, key=make_key(60 + i))))
         balancer.handle(10, ok(send))
-    (send,) = sends(balancer.handle(20, ask(20, 20, k=k)))
+    (send,) = sends(balancer.handle(20, make_request(20, 20, key=k)))
     home = fleet.nodes[send.node]
     assert not fleet.crowded(home, 30, 0.99) and fleet.crowded(home, 120, 0.99)
     assert fleet.slowness(home, 120) > 5
     balancer.handle(125, Outcome(20, 0, send.node, Status.TIMEOUT, 105, True))
-    assert not home.out and fleet.crowded(home, 130, 0.99)
+    assert not home.outstanding and fleet.crowded(home, 130, 0.99)
     assert not fleet.crowded(home, 30_000, 0.99), "who is left alone is tried again"
 
 
@@ -377,13 +377,13 @@
     """Guards against many balancers, none with a request in flight, that all write to one slow server."""
     for balancers, moves in ((40, True), (3, False)):
         balancer = make_balancer(12, balancers=balancers)
-        fleet, k = balancer.fleet, key(3)
+        fleet, k = balancer.fleet, make_key(3)
         places = fleet.order(k)
         best = places[0]
         best.weight *= 1.5
-        fleet.class_latency["once"] = 10.0
+        fleet.class_latency_ms["once"] = 10.0
         for i in range(3):
-            (send,) = sends(balancer.handle(10 * i, ask(i, 10 * i, "once", k, write=True)))
+            (send,) = sends(balancer.handle(10 * i, make_request(i, 10 * i, "once", k, write=True)))
             balancer.handle(10 * i + 1, ok(send, latency=200.0 if send.node == best.id else 10.0))
-        (last,) = sends(balancer.handle(40, ask(9, 40, "once", k, write=True)))
+        (last,) = sends(balancer.handle(40, make_request(9, 40, "once", k, write=True)))
         assert (last.node != best.id) is moves and last.node in {n.id for n in places}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,7 +33,7 @@
 from notchflow.policy.balancer import Balancer
 from notchflow.policy.health import healthy
 from notchflow.policy.nodes import TOLERANCE
-from tests.helpers import CLASSES, RULES, ask, key, make_balancer, make_fleet, make_settings, ok, sends
+from tests.helpers import CLASSES, RULES, make_request, make_key, make_balancer, make_fleet, make_settings, ok, sends
 
 
 class Referee:
@@ -96,8 +96,8 @@
     def request(self) -> None:
         cls = self.rng.choice(CLASSES)
         self.number += 1
-        k = self.rng.choice([None, key(self.rng.randrange(6))])
-        event = ask(self.number, self.now, cls.name, k, write=self.rng.random() < 0.2)
+        k = self.rng.choice([None, make_key(self.rng.randrange(6))])
+        event = make_request(self.number, self.now, cls.name, k, write=self.rng.random() < 0.2)
         self.open[self.number] = cls, event.deadline
         self.ran[self.number], self.count[self.number] = [], 0
         self.give(event)
@@ -183,43 +183,43 @@
 
 
 def test_empty_fleet_refuses_at_once() -> None:
-    assert make_balancer(0).handle(1, ask(1, 1, "once")) == [Refuse(1)]
+    assert make_balancer(0).handle(1, make_request(1, 1, "once")) == [Refuse(1)]
 
 
 def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
     balancer = make_balancer()
-    send = sends(balancer.handle(0, ask(1, 0, "once")))[0]
+    send = sends(balancer.handle(0, make_request(1, 0, "once")))[0]
     assert balancer.handle(50, Outcome(1, 0, send.node, Status.ERROR, 50)) == [Fail(1)]
 
 
 def test_unsafe_request_that_never_ran_goes_to_the_next_server() -> None:
     balancer = make_balancer()
-    send = sends(balancer.handle(0, ask(1, 0, "once")))[0]
+    send = sends(balancer.handle(0, make_request(1, 0, "once")))[0]
     again = sends(balancer.handle(5, Outcome(1, 0, send.node, Status.FULL, 5)))
     assert len(again) == 1 and again[0].node != send.node
 
 
 def test_keyed_request_is_not_repeated_after_its_window() -> None:
     balancer = make_balancer()
-    send = sends(balancer.handle(0, ask(1, 0, "keyed")))[0]
+    send = sends(balancer.handle(0, make_request(1, 0, "keyed")))[0]
     assert balancer.handle(500, Outcome(1, 0, send.node, Status.ERROR, 500)) == [Refuse(1)]
 
 
 def test_a_draining_server_gets_nothing_new() -> None:
     balancer = make_balancer()
-    k = key(3)
+    k = make_key(3)
     home = balancer.fleet.order(k)[0]
     balancer.handle(1, Membership(ListKind.DELTA, (Member(home.id, State.DRAINING),)))
     for i in range(50):
-        assert sends(balancer.handle(2, ask(i, 2, k=k)))[0].node != home.id
+        assert sends(balancer.handle(2, make_request(i, 2, key=k)))[0].node != home.id
 
 
 def test_a_burst_does_not_spend_a_cold_servers_budget() -> None:
     """Guards against a short burst of one cold server's keys right after its start."""
     balancer = make_balancer(4)
     balancer.handle(1, Membership(ListKind.DELTA, (Member(5, ready_at_ms=1.0),)))
-    k = next(key(i) for i in range(5000) if balancer.fleet.order(key(i))[0].id == 5)
-    nodes = [sends(balancer.handle(2, ask(i, 2, k=k)))[0].node for i in range(50)]
+    k = next(make_key(i) for i in range(5000) if balancer.fleet.order(make_key(i))[0].id == 5)
+    nodes = [sends(balancer.handle(2, make_request(i, 2, key=k)))[0].node for i in range(50)]
     assert 1 <= nodes.count(5) <= 3
 
 
@@ -229,67 +229,67 @@
     cold = Member(5, ready_at_ms=1.0)
     others = tuple(Member(n, State.DRAINING) for n in balancer.fleet.nodes)
     balancer.handle(1, Membership(ListKind.DELTA, (cold, *others)))
-    actions = [a for i in range(50) for a in balancer.handle(2, ask(i, 2))]
+    actions = [a for i in range(50) for a in balancer.handle(2, make_request(i, 2))]
     assert 1 <= len(sends(actions)) <= 3
     assert sum(isinstance(a, Refuse) for a in actions) == 50 - len(sends(actions))
 
 
 def test_a_silent_server_is_ejected_tried_again_and_restored() -> None:
     balancer = make_balancer(12)
-    k = key(3)
+    k = make_key(3)
     home = balancer.fleet.order(k)[0].id
     for i in range(2):
-        balancer.handle(i, ask(i, i, k=k))
+        balancer.handle(i, make_request(i, i, key=k))
     for i in range(2):
         balancer.handle(900 + i, Outcome(i, 0, home, Status.TIMEOUT, 900))
-    assert sends(balancer.handle(1000, ask(5, 1000, k=k)))[0].node != home
-    trial = sends(balancer.handle(2500, ask(6, 2500, k=k)))[0]
+    assert sends(balancer.handle(1000, make_request(5, 1000, key=k)))[0].node != home
+    trial = sends(balancer.handle(2500, make_request(6, 2500, key=k)))[0]
     assert trial.node == home and trial.timeout_ms is not None and trial.timeout_ms < 900
-    assert sends(balancer.handle(2500, ask(7, 2500, k=k)))[0].node != home
+    assert sends(balancer.handle(2500, make_request(7, 2500, key=k)))[0].node != home
     balancer.handle(2510, ok(trial))
-    assert sends(balancer.handle(2600, ask(8, 2600, k=k)))[0].node == home
+    assert sends(balancer.handle(2600, make_request(8, 2600, key=k)))[0].node == home
 
 
 def test_a_server_that_hangs_on_one_class_is_left_by_that_class_and_tried_again() -> None:
     """Guards against a server whose answers to other classes hide that it never answers this one."""
     balancer = make_balancer(12)
-    k = key(3)
+    k = make_key(3)
     home = balancer.fleet.order(k)[0].id
-    elsewhere = [n for n in range(200) if balancer.fleet.order(key(n))[0].id != home][:60]
+    elsewhere = [n for n in range(200) if balancer.fleet.order(make_key(n))[0].id != home][:60]
     for n in elsewhere:  # much is in flight, so that what hangs at the home is not yet over its bound
-        balancer.handle(0, ask(1_000 + n, 0, k=key(n)))
+        balancer.handle(0, make_request(1_000 + n, 0, key=make_key(n)))
     for i in range(5):
-        balancer.handle(100 * i, ask(3 * i, 100 * i, k=k))
-        other = sends(balancer.handle(100 * i + 1, ask(3 * i + 1, 100 * i + 1, "once", k)))[0]
+        balancer.handle(100 * i, make_request(3 * i, 100 * i, key=k))
+        other = sends(balancer.handle(100 * i + 1, make_request(3 * i + 1, 100 * i + 1, "once", k)))[0]
         assert other.node == home
         balancer.handle(100 * i + 11, ok(other))
-    last = sends(balancer.handle(880, ask(50, 880, "once", k)))[0]
+    last = sends(balancer.handle(880, make_request(50, 880, "once", k)))[0]
     balancer.handle(890, ok(last))
     for i in range(5):
         balancer.handle(900 + 100 * i, Outcome(3 * i, 0, home, Status.TIMEOUT, 900))
     balancer.throttle.asked = 0.0
     read, paid = [
-        sends(balancer.handle(1_400, ask(20 + i, 1_400, c, k)))[0] for i, c in enumerate(("read", "once"))
+        sends(balancer.handle(1_400, make_request(20 + i, 1_400, c, k)))[0] for i, c in enumerate(("read", "once"))
     ]
     assert read.node != home and paid.node == home
-    trial = sends(balancer.handle(2_400, ask(30, 2_400, k=k)))[0]
+    trial = sends(balancer.handle(2_400, make_request(30, 2_400, key=k)))[0]
     assert trial.node == home and trial.timeout_ms is not None
-    assert sends(balancer.handle(2_401, ask(31, 2_401, k=k)))[0].node != home, "one trial at a time"
+    assert sends(balancer.handle(2_401, make_request(31, 2_401, key=k)))[0].node != home, "one trial at a time"
     balancer.handle(2_410, ok(trial))
-    assert sends(balancer.handle(2_420, ask(32, 2_420, k=k)))[0].node == home
+    assert sends(balancer.handle(2_420, make_request(32, 2_420, key=k)))[0].node == home
 
 
 def test_a_server_that_errs_on_most_of_one_class_is_left_by_that_class() -> None:
     """Guards against a server that keeps a class because it answers a sixth of it, and all others."""
     balancer = make_balancer(12)
-    k = key(3)
+    k = make_key(3)
     home = balancer.fleet.order(k)[0].id
     homed = {"read": 0, "once": 0}
     for i in range(120):
         now = 20.0 * i
         balancer.throttle.asked = balancer.throttle.good = 0.0
         for number, cls in ((2 * i, "read"), (2 * i + 1, "once")):
-            out = sends(balancer.handle(now, ask(number, now, cls, k)))
+            out = sends(balancer.handle(now, make_request(number, now, cls, k)))
             attempt = 0
             while out:
                 homed[cls] += out[0].node == home
@@ -306,7 +306,7 @@
     for i in range(3_000):
         now, status = 5.0 * i, rng.choices([Status.OK, Status.ERROR, Status.RESET], [90, 5, 5])[0]
         balancer.throttle.asked = balancer.throttle.good = 0.0
-        (send,) = sends(balancer.handle(now, ask(i, now)))
+        (send,) = sends(balancer.handle(now, make_request(i, now)))
         again = sends(balancer.handle(now, Outcome(i, 0, send.node, status, 10, status is Status.OK)))
         for further in again:
             balancer.handle(now, ok(further, 1))
@@ -317,7 +317,7 @@
     """Guards against taking trouble behind all servers (a slow origin) for dead servers."""
     balancer = make_balancer(12)
     for i in range(200):
-        for send in sends(balancer.handle(i, ask(i, i))):
+        for send in sends(balancer.handle(i, make_request(i, i))):
             balancer.handle(i + 900, Outcome(i, 0, send.node, Status.TIMEOUT, 900))
     ejected = sum(n.ejected_until > 1100 for n in balancer.fleet.ready)
     assert 1 <= ejected <= 5
@@ -329,7 +329,7 @@
     further = 0
     for i in range(300):
         balancer.throttle.asked = balancer.throttle.good = 0.0
-        send = sends(balancer.handle(i, ask(i, i)))[0]
+        send = sends(balancer.handle(i, make_request(i, i)))[0]
         again = sends(balancer.handle(i, Outcome(i, 0, send.node, Status.ERROR, 1)))
         for send in again:
             balancer.handle(i, ok(send, 1))
@@ -342,7 +342,7 @@
     balancer = make_balancer(12)
     for i in range(100):
         balancer.throttle.asked = balancer.throttle.good = 0.0
-        send = sends(balancer.handle(i, ask(i, i, "once")))[0]
+        send = sends(balancer.handle(i, make_request(i, i, "once")))[0]
         (again,) = sends(balancer.handle(i, Outcome(i, 0, send.node, Status.FULL, 1)))
         assert again.node != send.node
         balancer.handle(i, ok(again, 1))
@@ -353,7 +353,7 @@
     """Guards against doing the work of late reads twice, with a fetch at the second place on top: that kept a
     fleet jammed with three in four requests refused."""
     balancer = make_balancer(12)
-    first = [sends(balancer.handle(0, ask(i, 0)))[0] for i in range(3)]
+    first = [sends(balancer.handle(0, make_request(i, 0)))[0] for i in range(3)]
     balancer.throttle.asked = 50.0
     assert sends(balancer.handle(5, Outcome(0, 0, first[0].node, Status.ERROR, 5))) == []
     assert len(sends(balancer.handle(5, Outcome(1, 0, first[1].node, Status.FULL, 5)))) == 1
@@ -374,7 +374,7 @@
         moves += before != balancer.fleet.kinds.weights
         for _ in range(3):
             number += 1
-            for send in sends(balancer.handle(now, ask(number, now))):
+            for send in sends(balancer.handle(now, make_request(number, now))):
                 balancer.handle(now, ok(send, latency=rng.expovariate(1 / 50)))
     assert all(0.6 < w < 1.6 for w in balancer.fleet.kinds.weights.values())
     assert moves <= 3
@@ -390,7 +390,7 @@
             now = start + i * 5.0
             if i % 50 == 0:
                 balancer.handle(now, Timer("sample"))
-            for send in sends(balancer.handle(now, ask(start + i, now))):
+            for send in sends(balancer.handle(now, make_request(start + i, now))):
                 sent += 1
                 balancer.handle(now, ok(send, latency=latency))
         return sent
@@ -412,20 +412,20 @@
     sent = {c.name: 0 for c in classes}
     for i in range(4000):
         name = classes[i % 2].name
-        for send in sends(balancer.handle(0, ask(i, 0, name))):
+        for send in sends(balancer.handle(0, make_request(i, 0, name))):
             sent[name] += 1
             balancer.handle(0, ok(send))
     assert sent["dear"] > 1.5 * sent["cheap"] > 0
     assert 1900 <= sum(sent.values()) <= 2600
     balancer.throttle.good = 0.01e9
-    assert sum(len(sends(balancer.handle(0, ask(i, 0, "dear")))) for i in range(5000, 6000)) < 150
+    assert sum(len(sends(balancer.handle(0, make_request(i, 0, "dear")))) for i in range(5000, 6000)) < 150
 
 
 def test_queues_as_long_as_the_longest_aim_already_count_as_overload() -> None:
     """Guards against answers just within a long aim, while the dearest classes have a shorter one."""
     balancer = make_balancer(12)
     for i in range(100):
-        send = sends(balancer.handle(i, ask(i, i)))
+        send = sends(balancer.handle(i, make_request(i, i)))
         for s in send:
             balancer.handle(i, ok(s, latency=280))
     assert balancer.throttle.pressure() > 0.5
@@ -440,7 +440,7 @@
         balancer.handle(step * 250.0, Timer("sample"))
         for _ in range(10):
             number += 1
-            for send in sends(balancer.handle(step * 250.0, ask(number, step * 250.0))):
+            for send in sends(balancer.handle(step * 250.0, make_request(number, step * 250.0))):
                 full = send.node % 2 == 1 and number % 3 > 0
                 status = Status.FULL if full else Status.OK
                 latency = 1 if full else 10
@@ -457,7 +457,7 @@
         if i % 10 == 0:
             balancer.throttle.asked = balancer.throttle.good = 0.0
             balancer.handle(now, Timer("sample"))
-        for send in sends(balancer.handle(now, ask(i, now))):
+        for send in sends(balancer.handle(now, make_request(i, now))):
             late = send.node % 2 == 1 and i % 3 > 0
             status = Status.TIMEOUT if late else Status.OK
             balancer.handle(now, Outcome(i, 0, send.node, status, 900 if late else 10, True))
@@ -469,7 +469,7 @@
     balancer = make_balancer(12)
     balancer.budgets.retries, balancer.throttle.asked = 0.0, 1e9
     for i in range(100):
-        assert sends(balancer.handle(0, ask(i, 0))) == []
+        assert sends(balancer.handle(0, make_request(i, 0))) == []
     assert balancer.budgets.retries == 0.0
 
 
@@ -477,12 +477,12 @@
     """Guards against a home that answers too late at a trickle, where in-flight counts show nothing; and
     against scattering keys when the whole fleet is in trouble."""
     balancer = make_balancer(12)
-    k = key(3)
+    k = make_key(3)
     home, second = balancer.fleet.order(k)[:2]
     home.throttle.asked = 1e6
-    assert sends(balancer.handle(0, ask(1, 0, k=k)))[0].node == second.id
+    assert sends(balancer.handle(0, make_request(1, 0, key=k)))[0].node == second.id
     balancer.throttle.asked, balancer.throttle.good = 100.0, 75.0
-    nodes = [s.node for i in range(2, 40) for s in sends(balancer.handle(0, ask(i, 0, k=k)))]
+    nodes = [s.node for i in range(2, 40) for s in sends(balancer.handle(0, make_request(i, 0, key=k)))]
     assert nodes[:4] == [home.id] * 4
 
 
@@ -516,7 +516,7 @@
 
 def test_late_unknown_and_repeated_ids_are_ignored() -> None:
     balancer = make_balancer()
-    send = sends(balancer.handle(0, ask(1, 0)))[0]
+    send = sends(balancer.handle(0, make_request(1, 0)))[0]
     balancer.handle(5, ok(send))
     assert balancer.handle(6, ok(send)) == []
     assert balancer.handle(6, Outcome(99, 0, 1, Status.OK)) == []
@@ -528,7 +528,7 @@
 
 def test_a_started_stream_is_left_to_the_client() -> None:
     balancer = make_balancer(classes=(RequestClass("s", 300, 1000, stream=True),))
-    send = sends(balancer.handle(0, ask(1, 0, "s")))[0]
+    send = sends(balancer.handle(0, make_request(1, 0, "s")))[0]
     assert balancer.handle(10, StreamStarted(1, 0, send.node)) == []
     assert balancer.handle(2000, Outcome(1, 0, send.node, Status.RESET, 2000, closed=True)) == []
     assert not balancer.pending
@@ -539,16 +539,16 @@
     fleet = (*make_fleet(4), Member(9, kind="store"))
     balancer.handle(0, Membership(ListKind.FULL, fleet))
     for i in range(40):
-        send = sends(balancer.handle(1, ask(i, 1)))[0]
+        send = sends(balancer.handle(1, make_request(i, 1)))[0]
         assert send.node != 9
         assert sends(balancer.handle(2, Outcome(i, 0, send.node, Status.MISS, 1)))[0].node == 9
-    assert sends(balancer.handle(3, ask(100, 3, "once", write=True)))[0].node == 9
+    assert sends(balancer.handle(3, make_request(100, 3, "once", write=True)))[0].node == 9
 
 
 def test_a_restarted_server_is_cold_and_has_a_clean_record() -> None:
     balancer = make_balancer(4)
     node = balancer.fleet.ready[0]
-    node.fails, node.ejected_until = 5, 1e9
+    node.failures, node.ejected_until = 5, 1e9
     balancer.handle(2000, Membership(ListKind.DELTA, (Member(node.id, ready_at_ms=1900.0),)))
     assert healthy(node, 2000)
     assert balancer.fleet.warmth(node, 2000) < 0.3
@@ -558,15 +558,15 @@
     """Guards against a rate, and with it a cold server's budget, blown up by clients that send anything."""
     balancer = make_balancer(4)
     for i in range(200):
-        assert balancer.handle(i, ask(i, i, "unheard-of", k=key(1))) == [Refuse(i)]
+        assert balancer.handle(i, make_request(i, i, "unheard-of", key=make_key(1))) == [Refuse(i)]
     balancer.handle(250, Timer("sample"))
-    assert balancer.rate == 0 and not balancer.hot.topk.fifo and balancer.throttle.asked == 0
+    assert balancer.rate == 0 and not balancer.hot_keys.topk.fifo and balancer.throttle.asked == 0
 
 
 def test_servers_that_are_gone_are_forgotten_once_nothing_is_out_there() -> None:
     """Guards against memory and CPU that grow all day where servers are replaced under new ids."""
     balancer = make_balancer(4)
-    send = sends(balancer.handle(0, ask(1, 0)))[0]
+    send = sends(balancer.handle(0, make_request(1, 0)))[0]
     for number in range(500):
         fleet = tuple(Member(10_000 + 4 * number + i) for i in range(4))
         balancer.handle(number, Membership(ListKind.FULL, fleet))
@@ -580,11 +580,11 @@
     """What goes out for a request long unanswered, where its server has served a later one or has not."""
     balancer = make_balancer(4)
     for number in range(1, 20):  # the usual latency becomes known
-        first = sends(balancer.handle(number, ask(number, number, cls, k=key(1))))[0]
+        first = sends(balancer.handle(number, make_request(number, number, cls, key=make_key(1))))[0]
         balancer.handle(number + 10, ok(first))
-    asked = balancer.handle(1_000, ask(100, 1_000, cls, k=key(1)))
+    asked = balancer.handle(1_000, make_request(100, 1_000, cls, key=make_key(1)))
     timers = [a for a in asked if isinstance(a, SetTimer)]
-    later = sends(balancer.handle(1_025, ask(101, 1_025, cls, k=key(1))))[0]
+    later = sends(balancer.handle(1_025, make_request(101, 1_025, cls, key=make_key(1))))[0]
     assert later.node == sends(asked)[0].node
     if overtaken:
         balancer.handle(1_029, ok(later))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -45,7 +45,7 @@
 )
 from notchflow.policy.balancer import Balancer
 from notchflow.policy.hot_keys import COMPARISONS, FastTopK
-from tests.helpers import key
+from tests.helpers import make_key
 
 RECORD = Path(__file__).parent / "trace.json"
 BLOCK = 100
@@ -125,7 +125,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = random.Random(seed)
         self.balancer = Balancer(settings, seed=seed, now=0.0)
-        self.balancer.hot.topk = DrawByDraw(self.balancer.rng)
+        self.balancer.hot_keys.topk = DrawByDraw(self.balancer.rng)
         self.settings = settings
         self.heap: list[tuple[float, int, Any]] = []
         self.count = self.numbers = 0
@@ -195,9 +195,9 @@
         self.numbers += 1
         rng, number = self.rng, self.numbers
         cls = rng.choices(["read", "list", "pay", "keyed", "celled", "unheard"], [60, 15, 8, 8, 8, 1])[0]
-        name: str | None = key(rng.randrange(300))
+        name: str | None = make_key(rng.randrange(300))
         if rng.random() < self.scene.hot:
-            name = key(7)
+            name = make_key(7)
         elif rng.random() < 0.03:
             name = None
         elif rng.random() < 0.1:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -66,7 +66,7 @@
             assert {o.status for o in told} == {Status.MOOT}
             rig.host.descriptors = 100
             assert (await client.ask()).status == 200
-            assert not any(n.fails or n.ejected_until for n in rig.host.balancer.fleet.ready)
+            assert not any(n.failures or n.ejected_until for n in rig.host.balancer.fleet.ready)
 
     run(test())
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -28,7 +28,7 @@
     Watch,
     WatchError,
 )
-from notchflow.policy.balancer import BACKOFF_MS
+from notchflow.policy.balancer import WATCH_BACKOFF_MS
 from tests.helpers import RULES
 
 NOTHING = Listing(41, False)
@@ -96,7 +96,7 @@
     now = watch.wake_at
     watch.wake(now)
     assert watch.failed(now, 3, "status 503") == [Failed("status 503", True)]
-    assert now + BACKOFF_MS[0] <= watch.wake_at <= now + BACKOFF_MS[1]
+    assert now + WATCH_BACKOFF_MS[0] <= watch.wake_at <= now + WATCH_BACKOFF_MS[1]
     assert watch.wake(watch.wake_at) == [Ask(4, 41, SOON_MS)]
 
 
