--- a/benchmarks/inner.py
+++ b/benchmarks/inner.py
@@ -21,7 +21,7 @@
 from notchflow.net.client import Client
 from notchflow.net.config import Config
 from notchflow.net.connection import Connection
-from notchflow.net.discovery import decode_listing
+from notchflow.net.discovery import decode_node_list
 from notchflow.net.host import Host
 from standins.discovery import member
 
@@ -64,7 +64,7 @@
 
     def __init__(self, boxes: int, keys: int) -> None:
         self.loop = uvloop.new_event_loop()
-        known = decode_listing(
+        known = decode_node_list(
             {
                 "revision": 1,
                 "complete": True,
@@ -107,8 +107,8 @@
         """A request and its answer."""
         self.at = (self.at + 1) % len(self.asked)
         self.client.data_received(self.asked[self.at])
-        item = next(iter(self.host.open.values()))
-        connection = next(iter(item.out.values())).connection
+        item = next(iter(self.host.active_requests.values()))
+        connection = next(iter(item.outstanding_attempts.values())).connection
         assert isinstance(connection, Connection)
         connection.data_received(ANSWER)
 
@@ -119,7 +119,7 @@
             self.one()
             if i % 50 == 0 and self.host.clock.now() > self.sampled_at + SAMPLE_MS:
                 self.sampled_at = self.host.clock.now()
-                self.host.tell(Timer("sample"))
+                self.host.dispatch(Timer("sample"))
             if i % 50 == 0:  # the loop's own timers too
                 self.loop.call_soon(self.loop.stop)
                 self.loop.run_forever()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -26,7 +26,7 @@
 
 from benchmarks.rig import ROOT
 from benchmarks.soak_checks import Asked, Broken, Departure, Heard, Left, Record, Run, Stopped, check
-from notchflow.net.stalls import BEAT_MS, StallDetector
+from notchflow.net.stalls import STALL_CHECK_MS, StallDetector
 from standins.box import Box, Execution, Work
 from standins.discovery import Registry, member
 from standins.ports import free_ports
@@ -276,7 +276,7 @@
             self.record.runs.append(Run(run.id, name, self.now()))
 
         def hear(number: str) -> None:
-            self.record.heard.append(Heard(number, self.stalls.earliest(self.now() * 1e3) / 1e3))
+            self.record.heard.append(Heard(number, self.stalls.earliest_arrival(self.now() * 1e3) / 1e3))
 
         box.watch, box.heard = note, hear
         await box.start()
@@ -284,8 +284,8 @@
 
     async def _beat(self) -> None:
         while not self.over:
-            self.stalls.beat(self.now() * 1e3)
-            await asyncio.sleep(BEAT_MS / 1e3)
+            self.stalls.mark_running(self.now() * 1e3)
+            await asyncio.sleep(STALL_CHECK_MS / 1e3)
 
     async def _crowd(self, instance: Instance) -> None:
         for _ in range(CROWD):
--- a/benchmarks/tenancy.py
+++ b/benchmarks/tenancy.py
@@ -36,7 +36,7 @@
     platform_proxy,
     wait_ready,
 )
-from notchflow.net.exchange import Asker, Call
+from notchflow.net.exchange import Downstream, ClientRequest
 from notchflow.state.database import Database
 from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.door import Face, TenantDoor
@@ -201,11 +201,11 @@
 class Nobody:
     """A host that takes requests and does nothing."""
 
-    held = 0
+    buffered_bytes = 0
 
-    def request(
+    def start_request(
         self,
-        call: Call,
+        call: ClientRequest,
         cls: str,
         budget_ms: float | None,
         key: str | None = None,
@@ -216,7 +216,7 @@
         write: bool = False,
         earlier: float | None = None,
     ) -> None:
-        call.settle(200)
+        call.finish(200)
 
 
 def lookup_us(tenants: int) -> float:
@@ -239,9 +239,9 @@
 
     def one() -> None:
         url, authorization = asked[int(rng.random() * TENANTS)]
-        call = Call(cast(Asker, None), host)
-        call.method, call.url, call.fields = b"GET", url, {b"host": b"a"}
-        call.passed = [b"Host: a\r\n", authorization]
+        call = ClientRequest(cast(Downstream, None), host)
+        call.method, call.url, call.headers = b"GET", url, {b"host": b"a"}
+        call.forwarded_headers = [b"Host: a\r\n", authorization]
         door.head(call)
         assert door.begin(call) is None
 
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -28,16 +28,16 @@
 from notchflow.interface import ListKind, RequestClass, Settings
 from notchflow.net.config import Config, load
 from notchflow.net.host import Host
-from notchflow.net.listing import Listing, decode_listing
-from notchflow.net.watch import Watch
+from notchflow.net.node_list import NodeList, decode_node_list
+from notchflow.net.watch import ListWatch
 
 SILENT_MS: Final = 6_000.0
 DRAIN_MS: Final = 7_000.0
 SIZES: Final = (100, 1_024)
-MAKERS: Final = {"before": FixedWaits, "now": Watch}
+MAKERS: Final = {"before": FixedWaits, "now": ListWatch}
 
 
-def silent(proxies: int, asked: bool, all_call_ms: float, make: type[Watch], seed: int) -> Verdict:
+def silent(proxies: int, asked: bool, all_call_ms: float, make: type[ListWatch], seed: int) -> Verdict:
     day = Day(
         proxies=proxies,
         asked=asked,
@@ -151,7 +151,7 @@
             discovery=("127.0.0.1", 1),
             seed=7,
             settings=settings,
-            known=Listing(0, True, (), {}),
+            known=NodeList(0, True, (), {}),
         )
         host = Host(config, asyncio.get_running_loop())
         whole = json.dumps({"revision": 2, "complete": True, "members": members(count)}, indent=2).encode()
@@ -160,7 +160,7 @@
         quarter = json.dumps({"revision": 4, "complete": False, "members": leaving}).encode()
 
         def take(data: bytes, kind: ListKind, host: Host = host) -> None:
-            host.apply(decode_listing(json.loads(data)), kind)
+            host.apply(decode_node_list(json.loads(data)), kind)
 
         tracemalloc.start()
         take(whole, ListKind.FULL)
--- a/notchflow/cluster/edge.py
+++ b/notchflow/cluster/edge.py
@@ -37,7 +37,7 @@
 from notchflow.cluster.model import Life
 from notchflow.cluster.places import Book, Place, family, place
 from notchflow.cluster.standpoint import Sender
-from notchflow.net.listing import parse_address
+from notchflow.net.node_list import parse_address
 
 log = logging.getLogger(__name__)
 
--- a/notchflow/cluster/places.py
+++ b/notchflow/cluster/places.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 from typing import TypeAlias
 
-from notchflow.net.listing import parse_address
+from notchflow.net.node_list import parse_address
 
 Place: TypeAlias = tuple[str, int]
 
--- a/notchflow/effects/keeper.py
+++ b/notchflow/effects/keeper.py
@@ -26,8 +26,8 @@
     Why,
 )
 from notchflow.effects.record import Effect, decode, fingerprint
-from notchflow.net.exchange import Call, Reply
-from notchflow.net.timers import Handle
+from notchflow.net.exchange import ClientRequest, LocalReply
+from notchflow.net.timers import TimerId
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Change, StoreError
 from notchflow.store.frames import Kind, Record
@@ -45,7 +45,7 @@
 
     classes: dict[str, float]  # deadlines, milliseconds
 
-    def at(self, due: float, call: Callable[..., None], argument: Any = None) -> Handle: ...
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId: ...
 
 
 def this_boot() -> int:
@@ -67,11 +67,11 @@
 
     __slots__ = ("keeper", "key", "rule", "call", "go", "timer", "over", "busy", "held")
 
-    def __init__(self, keeper: Keeper, key: bytes, rule: Rule, call: Call, busy: Reply, go: Go) -> None:
+    def __init__(self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, go: Go) -> None:
         self.keeper, self.key, self.rule = keeper, key, rule
-        self.call: Call | None = call
+        self.call: ClientRequest | None = call
         self.busy, self.go = busy, go
-        self.timer: Handle | None = None
+        self.timer: TimerId | None = None
         self.over = False  # answered or left while it waited for the store
         self.held: Held | None = None  # what is in hand under the key, if it is for this request
 
@@ -81,7 +81,7 @@
         self.call = None
         self.keeper.ended(self, status, ran)
 
-    def begin(self, call: Call, cls: str) -> Reply | None:
+    def begin(self, call: ClientRequest, cls: str) -> LocalReply | None:
         """Sends the request on, now or later, or says why not."""
         return self.keeper.begin(self, call, cls)
 
@@ -93,7 +93,7 @@
         self,
         committer: Committer,
         host: Hosted,
-        cancel: Callable[[Handle], None],
+        cancel: Callable[[TimerId], None],
         boot: int | None = None,
         clock: Callable[[], int] = boot_ms,
     ) -> None:
@@ -102,26 +102,26 @@
         self.rules: dict[str, Rule] = {}  # by class; others are not remembered
         self.refused = 0  # as the store could not take or give what was asked
 
-    def guard(self, call: Call, cls: str, key: bytes, busy: Reply, go: Go) -> Guard | None:
+    def guard(self, call: ClientRequest, cls: str, key: bytes, busy: LocalReply, go: Go) -> Guard | None:
         """For a request with an idempotency key; none where the class needs none."""
         rule = self.rules.get(cls)
         return Guard(self, key, rule, call, busy, go) if rule is not None else None
 
-    def begin(self, guard: Guard, call: Call, cls: str) -> Reply | None:
+    def begin(self, guard: Guard, call: ClientRequest, cls: str) -> LocalReply | None:
         """What the client is told at once; none where it is told later, or the request is sent."""
         known, print_ = self.committer.known(guard.key), fingerprint(call.method, call.url, call.body)
         deadline = call.arrived_at + self.host.classes[cls]
         verdict = self.memory.ask(guard.key, print_, guard.rule, self.clock(), known)
         answer = self._act(guard, verdict)
         if answer is None and not guard.over and self._waits(guard):
-            guard.timer = self.host.at(deadline, self._too_late, guard)
+            guard.timer = self.host.call_at(deadline, self._too_late, guard)
         return answer
 
     def _waits(self, guard: Guard) -> bool:
         held = self.memory.hand.get(guard.key)
         return held is not None and held.phase in (Phase.LOOKING, Phase.WRITING)
 
-    def _act(self, guard: Guard, verdict: Verdict) -> Reply | None:
+    def _act(self, guard: Guard, verdict: Verdict) -> LocalReply | None:
         if isinstance(verdict, Tell):
             return told(verdict.status)
         if isinstance(verdict, Deny):
@@ -139,7 +139,7 @@
             guard.go(self._earlier(verdict))
         return None
 
-    def _unwritten(self, guard: Guard, verdict: Begin, error: StoreError) -> Reply:
+    def _unwritten(self, guard: Guard, verdict: Begin, error: StoreError) -> LocalReply:
         """What cannot be remembered is not sent."""
         log.debug("an intent is not written: %s", error)
         self.refused += 1
@@ -198,7 +198,7 @@
         self.refused += 1
         self._answer(guard, guard.busy)
 
-    def _answer(self, guard: Guard, answer: Reply) -> None:
+    def _answer(self, guard: Guard, answer: LocalReply) -> None:
         self._stop_timer(guard)
         call = guard.call
         if call is not None and not guard.over:
@@ -257,10 +257,10 @@
         log.warning("an intent was sent on and is not written: %s", problem)
 
 
-def told(status: int) -> Reply:
+def told(status: int) -> LocalReply:
     """A repeat of what was served: its fate, as answers are not kept."""
     body = json.dumps({"fate": "served", "status": status}).encode()
-    return Reply(
+    return LocalReply(
         200,
         (
             b"Content-Type: application/json\r\n",
@@ -271,7 +271,7 @@
     )
 
 
-def denied(why: Why) -> Reply:
+def denied(why: Why) -> LocalReply:
     if why is Why.MISMATCH:
         return reply(422, "idempotency-key-reused", "Use a new Idempotency-Key for another request.")
     if why is Why.IN_HAND:
--- a/notchflow/emulator/fixed_waits.py
+++ b/notchflow/emulator/fixed_waits.py
@@ -5,33 +5,33 @@
 
 from typing import Final
 
-from notchflow.net.watch import Action, Drop, Out, Watch
+from notchflow.net.watch import WatchAction, CancelCall, PendingCall, ListWatch
 
 FIXED_WAIT_MS: Final = 20_000
 GIVE_UP_MS: Final = 1_000.0
 AGAIN_MS: Final = 500.0
 
 
-class FixedWaits(Watch):
+class FixedWaits(ListWatch):
     """One call at a time, and the next after its end."""
 
     def _wait_ms(self, now: float) -> int:
         return FIXED_WAIT_MS
 
-    def _renewal(self, now: float, out: Out) -> float:
+    def _renewal_at(self, now: float, out: PendingCall) -> float:
         return float("inf")
 
-    def _overdue_at(self, out: Out) -> float:
+    def _overdue_at(self, out: PendingCall) -> float:
         return out.begun_at + out.wait_ms + GIVE_UP_MS
 
-    def wake(self, now: float) -> list[Action]:
-        for out in list(self.out):
+    def wake(self, now: float) -> list[WatchAction]:
+        for out in list(self.pending_calls):
             if self._overdue_at(out) <= now:
-                return [Drop(out.number), *self.failed(now, out.number, "no answer")]
+                return [CancelCall(out.number), *self.failed(now, out.number, "no answer")]
         return super().wake(now)
 
-    def _failed(self, now: float, problem: str) -> list[Action]:
-        actions = super()._failed(now, problem)
-        if not self.asked:
+    def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
+        actions = super()._after_failure(now, problem)
+        if not self.on_request:
             self.next_at = now + AGAIN_MS
         return actions
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -16,10 +16,10 @@
 from notchflow.emulator.wires import Address, Loop, Pipe, SimulatedClock
 from notchflow.interface import Effect, Limits, ListKind, RequestClass, Rules, Settings
 from notchflow.net.config import Config
-from notchflow.net.exchange import Answer, Call, Reply
+from notchflow.net.exchange import UpstreamResponse, ClientRequest, LocalReply
 from notchflow.net.host import Host
-from notchflow.net.listing import Listing, decode_listing
-from notchflow.net.watch import Ask, Watch
+from notchflow.net.node_list import NodeList, decode_node_list
+from notchflow.net.watch import StartCall, ListWatch
 
 # What may happen to the three nodes, one entry a revision: which, its phase from then on, and its port.
 Plan = tuple[tuple[str, str, int], ...]
@@ -45,28 +45,28 @@
     def __init__(self, world: Sends, proxy: Proxy, number: int) -> None:
         self.world, self.proxy = world, proxy
         self.answers = 0
-        call = self.call = Call(self, proxy.host)
+        call = self.call = ClientRequest(self, proxy.host)
         call.method, call.url = b"GET", b"/%d" % number
-        call.arrived_at = call.earliest_at = proxy.host.clock.now()
+        call.arrived_at = call.earliest_arrival_at = proxy.host.clock.now()
         if number % 4 == 3:
-            call.flowing = call.chunked = True
-            call.passed.append(b"Transfer-Encoding: chunked\r\n")
+            call.streams_body = call.chunked = True
+            call.forwarded_headers.append(b"Transfer-Encoding: chunked\r\n")
         name = "write" if number % 3 == 2 else "read"
-        proxy.host.request(call, name, None, str(number % 16), write=name == "write")
-        if call.flowing:
+        proxy.host.start_request(call, name, None, str(number % 16), write=name == "write")
+        if call.streams_body:
             world.sim.after(PIECE_MS, self.more, PIECES)
 
     def more(self, left: int) -> None:
         """The next piece of the body, or its end."""
-        item, host = self.call.open, self.proxy.host
+        item, host = self.call.active, self.proxy.host
         if item is None or not self.proxy.alive:
             return
         if left:
-            host.body_came(item, [b"x" * 10])
+            host.body_received(item, [b"x" * 10])
             self.world.sim.after(PIECE_MS, self.more, left - 1)
         else:
-            self.call.whole = True
-            host.body_whole(item)
+            self.call.body_complete = True
+            host.finish_body(item)
 
     def end(self, status: int) -> None:
         """A final answer."""
@@ -74,33 +74,33 @@
         self.world.answers[status] = self.world.answers.get(status, 0) + 1
         if self.answers > 1:
             self.world.verdict.broken.append(f"{self.call.url!r} is answered twice")
-        self.call.settle(status)
+        self.call.finish(status)
 
-    def serve(self, call: Call, answer: Answer) -> None:
+    def serve(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         self.end(200)
 
-    def refuse(self, call: Call, retry_after_ms: float) -> None:
+    def refuse(self, call: ClientRequest, retry_after_ms: float) -> None:
         self.end(503)
 
-    def fail(self, call: Call, status: int) -> None:
+    def fail(self, call: ClientRequest, status: int) -> None:
         self.end(status)
 
-    def answer(self, call: Call, reply: Reply) -> None:
+    def answer(self, call: ClientRequest, reply: LocalReply) -> None:
         self.end(reply.status)
 
-    def begin_stream(self, call: Call, answer: Answer) -> None:
+    def begin_stream(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         """Nodes' answers here are short."""
 
     def stream(self, data: bytes) -> None:
         """As above."""
 
-    def end_stream(self, call: Call, whole: bool) -> None:
+    def end_stream(self, call: ClientRequest, whole: bool) -> None:
         """As above."""
 
-    def flow(self, on: bool) -> None:
+    def set_body_wanted(self, on: bool) -> None:
         """The body comes as it comes."""
 
-    def gone(self, now: float) -> bool:
+    def has_left(self, now: float) -> bool:
         """Nobody leaves here."""
         return False
 
@@ -110,7 +110,7 @@
 
     proxy: Proxy
 
-    def apply(self, listing: Listing, kind: ListKind) -> None:
+    def apply(self, listing: NodeList, kind: ListKind) -> None:
         super().apply(listing, kind)
         if kind is not ListKind.CACHED:
             self.proxy.be_ready()
@@ -130,7 +130,7 @@
         self.ready_at = now if world.day.asked else float("inf")
         self.loop = Loop(world.sim, world)  # type: ignore[abstract]  # what the edges use is there
         world.owners[self.loop] = self
-        seed, known = world.day.seed * 1_000 + number, decode_listing(world.listing(0, None))
+        seed, known = world.day.seed * 1_000 + number, decode_node_list(world.listing(0, None))
         config = Config(f"p{number}", ("proxy", 1), ("discovery", world.place), seed, world.settings, known)
         self.host: WatchedHost = world.make_host(config, self.loop, clock=SimulatedClock(self.loop))
         self.host.proxy = self
@@ -140,17 +140,17 @@
             world.sim.after(500.0, self.be_ready)
 
     @property
-    def watch(self) -> Watch:  # type: ignore[override]
-        return self.host.discovery.watching
+    def watch(self) -> ListWatch:  # type: ignore[override]
+        return self.host.discovery.list_watch
 
     def move(self) -> None:
-        self.host.discovery.move(("discovery", self.world.place))
+        self.host.discovery.change_address(("discovery", self.world.place))
 
     def end(self) -> None:
         super().end()
         self.loop.kill()
 
-    def deliver(self, line: Line, listing: Listing) -> None:
+    def deliver(self, line: Line, listing: NodeList) -> None:
         since = None if listing.complete else line.ask.revision
         self.world.calls[line.ask.number].tell(200, self.world.listing(listing.revision, since))
 
@@ -192,7 +192,7 @@
         self.number = self.world.count = self.world.count + 1
         self.world.calls[self.number] = self
         now = self.world.sim.now
-        line = Line(self.proxy, Ask(self.number, revision, int(given.get(b"wait", 0))), now, self.place)
+        line = Line(self.proxy, StartCall(self.number, revision, int(given.get(b"wait", 0))), now, self.place)
         self.proxy.lines[self.number] = line
         self.proxy.last_call_at, self.proxy.last_failed = now, False
         self.world.sim.after(TRIP_MS, self.world.called, line)
@@ -274,7 +274,7 @@
         self.sim.after(EVERY_MS, self.ask)
         for proxy in self.followers:
             assert isinstance(proxy, Proxy)
-            for _ in range(AT_ONCE if proxy.host.informed() else 0):
+            for _ in range(AT_ONCE if proxy.host.list_is_current() else 0):
                 self.requests += 1
                 self.clients.append(Client(self, proxy, self.requests))
 
--- a/notchflow/emulator/watch_explorer.py
+++ b/notchflow/emulator/watch_explorer.py
@@ -11,7 +11,7 @@
 from itertools import combinations_with_replacement, product
 
 from notchflow.emulator.watches import Day, Maker, World
-from notchflow.net.watch import Watch
+from notchflow.net.watch import ListWatch
 
 LENGTH_MS = 75_000.0  # past the end of an asked watch's longest wait
 PUSHED_MS = 36_000.0
@@ -36,7 +36,7 @@
         )
 
 
-def play(day: Day, make: Maker = Watch) -> tuple[Day, list[str]]:
+def play(day: Day, make: Maker = ListWatch) -> tuple[Day, list[str]]:
     """What a day breaks."""
     return day, World(day, make).play().broken
 
--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -13,8 +13,8 @@
 
 from notchflow.emulator.engine import Simulator
 from notchflow.interface import Limits, ListKind, Member, Membership, RequestClass, Rules, SetTimer, Settings
-from notchflow.net.listing import Listing
-from notchflow.net.watch import Action, Ask, Drop, Failed, Take, Watch
+from notchflow.net.node_list import NodeList
+from notchflow.net.watch import WatchAction, StartCall, CancelCall, ReportFailure, ApplyList, ListWatch
 from notchflow.policy.balancer import Balancer
 
 TRIP_MS: Final = 0.3
@@ -28,7 +28,7 @@
 SLACK_MS: Final = 50.0  # on sockets, beside the grace
 SOMEBODY: Final = (Member(1),)
 
-Maker = Callable[[int, bool, int, Rules], Watch]
+Maker = Callable[[int, bool, int, Rules], ListWatch]
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     """A call as discovery sees it."""
 
     follower: Follower
-    ask: Ask
+    ask: StartCall
     begun_at: float
     place: int  # which of discovery's addresses it goes to
     open: bool = True
@@ -101,7 +101,7 @@
         self.tell(Membership(ListKind.CACHED, (), revision))
         if not day.asked:
             world.sim.after(500.0, self.be_ready)  # whether the agent was heard or not
-            self.do(self.watch.want(world.sim.now, True))
+            self.do(self.watch.set_wanted(world.sim.now, True))
 
     def be_ready(self) -> None:
         self.ready_at = min(self.ready_at, self.world.sim.now)
@@ -113,7 +113,7 @@
 
     def move(self) -> None:
         """SIGHUP: discovery is elsewhere."""
-        self.do(self.watch.move(self.world.sim.now))
+        self.do(self.watch.restart(self.world.sim.now))
 
     def end(self) -> None:
         """The process is killed."""
@@ -123,14 +123,14 @@
 
     def timer(self) -> None:
         if self.alive:
-            self.do(self.watch.want(self.world.sim.now, True))
+            self.do(self.watch.set_wanted(self.world.sim.now, True))
 
     def wake(self, due: float) -> None:
         if self.alive and due == self.wake_for:
             self.wake_for = float("inf")
             self.do(self.watch.wake(self.world.sim.now))
 
-    def answered(self, line: Line, listing: Listing) -> None:
+    def answered(self, line: Line, listing: NodeList) -> None:
         if line.open and self.alive:
             self.close(line)
             self.failed_at, self.answered_at = None, self.world.sim.now
@@ -146,7 +146,7 @@
                 self.refused_at = self.world.sim.now
             self.refuse(line, problem)
 
-    def deliver(self, line: Line, listing: Listing) -> None:
+    def deliver(self, line: Line, listing: NodeList) -> None:
         """The answer has arrived."""
         self.do(self.watch.answered(self.world.sim.now, line.ask.number, listing, False))
 
@@ -166,21 +166,21 @@
         if not taken and not answered and self.failed_at is None:
             self.failed_at = self.world.sim.now
 
-    def do(self, actions: list[Action]) -> None:
+    def do(self, actions: list[WatchAction]) -> None:
         world = self.world
         for action in actions:
             match action:
-                case Ask(number):
+                case StartCall(number):
                     line = self.lines[number] = Line(self, action, world.sim.now, world.place)
                     self.last_call_at, self.last_failed = world.sim.now, False
                     world.sim.after(TRIP_MS, world.called, line)
-                case Drop(number):
+                case CancelCall(number):
                     self.give_up(self.lines[number])
-                case Take(listing, kind):
+                case ApplyList(listing, kind):
                     self.be_ready()
                     world.judge.has(self, listing.revision)
                     self.tell(Membership(kind, (), listing.revision))
-                case Failed(_, watched) if not watched:
+                case ReportFailure(_, watched) if not watched:
                     self.tell(Membership(ListKind.FAILED))
         due = self.watch.wake_at
         if due < float("inf") and due != self.wake_for:
@@ -191,7 +191,7 @@
 class World:
     """Discovery, as one service or as an agent beside each proxy, and the day's faults."""
 
-    def __init__(self, day: Day, make: Maker = Watch) -> None:
+    def __init__(self, day: Day, make: Maker = ListWatch) -> None:
         self.day, self.make = day, make
         self.sim = Simulator()
         self.settings = self.deployment(Rules(ask_within_ms=day.ask_within_ms, drain_grace_ms=day.grace_ms))
@@ -348,7 +348,7 @@
         if follower.number in self.stale and revision > 0:
             self.stale.discard(follower.number)
             revision = max(revision - 2, 0)
-        listing = Listing(revision, whole, SOMEBODY if whole else ())
+        listing = NodeList(revision, whole, SOMEBODY if whole else ())
         self.sim.after(TRIP_MS, follower.answered, line, listing)
 
     def refuse(self, line: Line) -> None:
--- a/notchflow/emulator/wires.py
+++ b/notchflow/emulator/wires.py
@@ -199,7 +199,7 @@
     __slots__ = ()
 
     def __init__(self, loop: Loop) -> None:
-        self.loop, self.base = loop, EPOCH_MS
+        self.loop, self.offset_ms = loop, EPOCH_MS
 
     def now(self) -> float:
-        return self.base + self.loop.time() * 1e3
+        return self.offset_ms + self.loop.time() * 1e3
--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -27,7 +27,7 @@
 )
 from notchflow.interface import Limits, Rules, Settings
 from notchflow.net.config import Config
-from notchflow.net.listing import Listing, decode_listing, parse_address
+from notchflow.net.node_list import NodeList, decode_node_list, parse_address
 from notchflow.tenancy.routes import faults as route_faults
 
 _T = TypeVar("_T")
@@ -79,9 +79,9 @@
         """The state folder; a relative one is beside the file."""
         return self.path.parent / self.service.state
 
-    def listing(self) -> Listing:
+    def listing(self) -> NodeList:
         """The fixed fleet in discovery's form; empty where discovery gives it."""
-        return decode_listing(
+        return decode_node_list(
             {
                 "revision": 0,
                 "complete": True,
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -26,7 +26,7 @@
 from notchflow.hosting.rules import FleetRules
 from notchflow.hosting.schema import ClusterModel
 from notchflow.hosting.shared_limits import TERMS, SharedLimits
-from notchflow.net.exchange import Reply
+from notchflow.net.exchange import LocalReply
 from notchflow.operations.figures import ClassCounts
 from notchflow.state.database import Database
 from notchflow.tenancy.problems import reply
@@ -193,15 +193,15 @@
             log.log(level, "cluster: " + text.format(**values))
 
     # -- what clients and operators see
-    def ready(self, away: bool) -> Reply:
+    def ready(self, away: bool) -> LocalReply:
         """The answer to a readiness check, with the standing. Ready is who may take requests and has its part
         of the tenants' limits."""
         standing = self.core.standing(self.edge.now()).value
         fields = (b"X-Standing: %b\r\n" % standing.encode(), b"X-Instance: %b\r\n" % self.model.name.encode())
         opened = (self.limits is None or self.limits.opened()) and (self.rules is None or self.rules.acts())
-        return Reply(200 if opened and self.core.takes() and not away else 503, fields, b"")
+        return LocalReply(200 if opened and self.core.takes() and not away else 503, fields, b"")
 
-    def turned_away(self) -> Reply | None:
+    def turned_away(self) -> LocalReply | None:
         """What a request is told while this instance may take none under its name."""
         if self.core.takes() or self.core.tenure.hold is Hold.LEFT:  # who leaves serves what still comes
             return None
--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -11,7 +11,7 @@
 from notchflow.interface import ListKind, SettingsChanged, State
 from notchflow.net.config import Config
 from notchflow.net.host import Host
-from notchflow.net.listing import Listing
+from notchflow.net.node_list import NodeList
 from notchflow.tenancy import figures
 from notchflow.tenancy.door import TenantDoor
 
@@ -28,7 +28,7 @@
         self.membership: Membership | None = None
         super().__init__(config, loop, door)
 
-    def apply(self, listing: Listing, kind: ListKind) -> None:
+    def apply(self, listing: NodeList, kind: ListKind) -> None:
         now, names, addresses = self.clock.now(), listing.names or {}, listing.addresses or {}
         if kind is not ListKind.DELTA:
             for node in self.seen.keys() - names.keys():
@@ -62,9 +62,9 @@
         return {
             "phase": self.duty.phase.value,
             "serving": self.serving(),
-            "descriptors": self.used,
+            "descriptors": self.descriptors_used,
             "open_requests": self.figures.open,
-            "bytes_held": self.held,
+            "bytes_held": self.buffered_bytes,
             "clients": sum(len(front.clients) for front in self.fronts),
             "effects": self.keeper.figures() if self.keeper is not None else None,
         }
@@ -73,7 +73,7 @@
         """So many proxies are there, this one counted."""
         self._take_over(replace(self.config, settings=replace(self.settings, balancers=balancers)))
         self.config = replace(self.config, settings=self.settings)
-        self.tell(SettingsChanged(self.settings))
+        self.dispatch(SettingsChanged(self.settings))
 
     def boxes(self) -> list[dict[str, Any]]:
         nodes = self.balancer.fleet.nodes
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -27,7 +27,7 @@
 from notchflow.cluster.agreement.replica import Hard, Role, Settings, Snapshot
 from notchflow.cluster.agreement.session import Terms
 from notchflow.cluster.edge import Edge
-from notchflow.net.exchange import Reply
+from notchflow.net.exchange import LocalReply
 from notchflow.state.database import Database
 from notchflow.state.replicated import Applied, Command, Replicated, encode
 from notchflow.store.commit import Committer
@@ -120,7 +120,7 @@
         self.committer.stop()
 
     # -- the door
-    def refuses(self) -> Reply | None:
+    def refuses(self) -> LocalReply | None:
         """What a request is told while this instance may not act on its rules."""
         if self.agreement.holds(self.edge.now()) and self.state.sealed:
             return None
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -29,7 +29,7 @@
 from notchflow.hosting.rules import FleetRules
 from notchflow.interface import ListKind
 from notchflow.net.collector import settle
-from notchflow.net.listing import parse_address
+from notchflow.net.node_list import parse_address
 from notchflow.state.database import Database, StateError
 from notchflow.state.replicated import Applied
 from notchflow.store.commit import Committer
@@ -99,7 +99,7 @@
             self.file.secret,
             self.loop,
             self.host.rebalance,
-            self.host.longest_ms,
+            self.host.longest_deadline_ms,
             self.db,
             self.host.figures.classes,
             history,
@@ -260,7 +260,7 @@
             )
         )
         if self.membership is not None and self.membership.limits is not None:
-            self.membership.limits.longest(self.host.longest_ms)
+            self.membership.limits.longest(self.host.longest_deadline_ms)
         self.directory.redefine(
             file.tenants.limits.core(), [r.core() for r in file.tenants.routes], file.service.in_hand
         )
--- a/notchflow/net/arrival.py
+++ b/notchflow/net/arrival.py
@@ -9,7 +9,7 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
-from notchflow.net.exchange import HOP_BY_HOP, Call, Door, Gatekeeper
+from notchflow.net.exchange import HOP_BY_HOP, ClientRequest, Gateway, ClientHost
 
 log = logging.getLogger(__name__)
 
@@ -50,8 +50,8 @@
 class Entrance(Protocol):
     """The listener's side, as its clients' connections see it."""
 
-    host: Gatekeeper
-    door: Door | None
+    host: ClientHost
+    door: Gateway | None
     clients: dict[Any, None]
     idle: dict[Any, None]
     lingering: dict[Any, None]
@@ -90,11 +90,11 @@
         self.host = front.host
         self.transport: asyncio.Transport | None = None
         self.parser: HttpRequestParser | None = None
-        self.arriving: Call | None = None
+        self.arriving: ClientRequest | None = None
         self.in_head = False
         self.head_size = self.framing = self.chunks = 0
-        self.waiting: deque[Call] = deque()
-        self.current: Call | None = None
+        self.waiting: deque[ClientRequest] = deque()
+        self.current: ClientRequest | None = None
         self.held_off = False  # nothing is read until what waits is fewer
         self.stopped_at: float | None = None  # since then no more of a body is wanted
         self.turn_over = False  # enough of a body was read in this turn of the loop
@@ -105,7 +105,7 @@
         self.due_since: float | None = None  # a request is due: the first, or one that has begun to come
 
     # -- what the client's side makes of it
-    def _call(self) -> Call:
+    def _call(self) -> ClientRequest:
         """A request that begins to come."""
         raise NotImplementedError
 
@@ -117,14 +117,14 @@
         """Ends the connection once what was written has gone."""
         raise NotImplementedError
 
-    def fail(self, call: Call, status: int) -> None:
+    def fail(self, call: ClientRequest, status: int) -> None:
         """Failed, with no promise."""
         raise NotImplementedError
 
     # -- bytes
     def data_received(self, data: bytes) -> None:
         """Bytes have come: parses them, then takes up the next request."""
-        self.active_at = self.host.clock.turn()
+        self.active_at = self.host.clock.loop_time()
         if self.closing or self.parser is None:
             return  # what follows a fault is read and dropped, so that its answer is not lost to a reset
         self.front.idle.pop(self, None)
@@ -134,7 +134,7 @@
             for at in range(0, len(data), SLICE):
                 if not self.closing:
                     self._feed(data[at : at + SLICE])
-        if self.arriving is not None and self.arriving.flowing:
+        if self.arriving is not None and self.arriving.streams_body:
             self._pass_pieces(self.arriving)
             if len(data) > SLICE:
                 self._end_turn()
@@ -146,7 +146,7 @@
         if self.parser is None:
             return
         call = self.arriving
-        before = call.size if call is not None else 0
+        before = call.body_size if call is not None else 0
         try:
             self.parser.feed_data(data)
         except HttpParserUpgrade:
@@ -158,7 +158,7 @@
             if self.head_size >= HEAD_MAX:
                 self._fault(431, f"a head of over {HEAD_MAX} bytes")
         elif call is not None and call is self.arriving:  # in the midst of a body
-            self.framing += len(data) - (call.size - before)
+            self.framing += len(data) - (call.body_size - before)
             if self.framing > FRAMING_MAX + FRAMING_CHUNK * self.chunks:
                 self._fault(400, "more framing than body")
 
@@ -180,15 +180,15 @@
         if call is None or not self.in_head:
             return  # trailers
         if low in READ:
-            if low in SINGLE and low in call.fields:
-                call.fault = 400
-            call.fields[low] = value
+            if low in SINGLE and low in call.headers:
+                call.error_status = 400
+            call.headers[low] = value
             if low in REPLACED:
                 return
         elif low in HOP_BY_HOP:
-            call.fields[low] = b"%b, %b" % (call.fields[low], value) if low in call.fields else value
+            call.headers[low] = b"%b, %b" % (call.headers[low], value) if low in call.headers else value
             return
-        call.passed.append(b"%b: %b\r\n" % (name, value))
+        call.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         """Parser: the head is whole."""
@@ -198,37 +198,37 @@
         self.in_head = False
         call.method = parser.get_method()
         call.chunks_allowed = parser.get_http_version() == "1.1"
-        call.keep = call.chunks_allowed and parser.should_keep_alive()
-        if not FRAMING.isdisjoint(call.fields) and not self._framed(call):
+        call.keep_alive = call.chunks_allowed and parser.should_keep_alive()
+        if not FRAMING.isdisjoint(call.headers) and not self._framed(call):
             return
-        if len(call.passed) > FIELDS_MAX:
+        if len(call.forwarded_headers) > FIELDS_MAX:
             self._fault(431, f"over {FIELDS_MAX} fields")
             return
-        if self.front.door is not None and not call.fault:
+        if self.front.door is not None and not call.error_status:
             self.front.door.head(call)
-        if int(call.fields.get(b"content-length", 0)) > BODY_MAX:
+        if int(call.headers.get(b"content-length", 0)) > BODY_MAX:
             self._fault(413, f"a body of over {BODY_MAX} bytes")
-        elif b"expect" in call.fields:
+        elif b"expect" in call.headers:
             self._expected(call)
 
-    def _framed(self, call: Call) -> bool:
+    def _framed(self, call: ClientRequest) -> bool:
         """What the head says of the connection and the coding; false where that is a fault."""
-        named = call.fields.get(b"connection")
+        named = call.headers.get(b"connection")
         if named is not None and b"," in named or named and named.lower() not in (b"keep-alive", b"close"):
             tokens = {t.strip().lower() for t in named.split(b",")} - END_TO_END
             drop = tuple(t + b":" for t in tokens if t)
-            call.passed = [line for line in call.passed if not line.lower().startswith(drop)]
-        coding = call.fields.get(b"transfer-encoding")
+            call.forwarded_headers = [line for line in call.forwarded_headers if not line.lower().startswith(drop)]
+        coding = call.headers.get(b"transfer-encoding")
         if coding is not None and coding.strip().lower() != b"chunked":
             self._fault(501, f"the coding {coding!r:.60}")  # the box would be told of none
             return False
         return True
 
-    def _expected(self, call: Call) -> None:
+    def _expected(self, call: ClientRequest) -> None:
         """The client waits with the body."""
-        if call.reply is not None:
-            self._fault(call.reply.status, "turned away before its body")  # it may as well keep it
-        elif call.fields[b"expect"].lower() == b"100-continue":
+        if call.local_reply is not None:
+            self._fault(call.local_reply.status, "turned away before its body")  # it may as well keep it
+        elif call.headers[b"expect"].lower() == b"100-continue":
             if self.current is None and not self.waiting and self.transport is not None:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -237,59 +237,59 @@
         call = self.arriving
         if call is None:
             return
-        call.size += len(data)
-        if call.size > BODY_MAX:
+        call.body_size += len(data)
+        if call.body_size > BODY_MAX:
             self._fault(413, f"a body of over {BODY_MAX} bytes")
-        elif call.dropped:
+        elif call.drop_body:
             return
-        elif call.flowing or self._flows(call, len(data)):
+        elif call.streams_body or self._flows(call, len(data)):
             self._flow(call, data)
-        elif call.reply is None and not call.spilled:
-            full = self.host.held + len(data) > self.host.held_max
+        elif call.local_reply is None and not call.body_not_held:
+            full = self.host.buffered_bytes + len(data) > self.host.buffer_limit
             if full or (call.ticket is not None and not call.ticket.charge(len(data))):
-                call.spilled = True
-                call.release()
+                call.body_not_held = True
+                call.release_body()
             else:
-                self.host.held += len(data)
-                call.charged += len(data)
+                self.host.buffered_bytes += len(data)
+                call.charged_bytes += len(data)
                 if call.body and len(data) < JOIN_BELOW and len(call.body[-1]) < JOIN_BELOW:
                     call.body[-1] += data
                 else:
                     call.body.append(data)
 
-    def _flows(self, call: Call, size: int) -> bool:
+    def _flows(self, call: ClientRequest, size: int) -> bool:
         """Whether this body is to go on as it comes, from now on."""
-        if self.front.door is not None or call.method != b"PUT" or call.fault or call.spilled:
+        if self.front.door is not None or call.method != b"PUT" or call.error_status or call.body_not_held:
             return False
-        short = self.host.held + size > self.host.held_max
-        if call.size > FLOW_FROM or short and int(call.fields.get(b"content-length", 0)) > FLOW_FROM:
-            call.flowing = True
+        short = self.host.buffered_bytes + size > self.host.buffer_limit
+        if call.body_size > FLOW_FROM or short and int(call.headers.get(b"content-length", 0)) > FLOW_FROM:
+            call.streams_body = True
             self.waiting.append(call)
-        return call.flowing
+        return call.streams_body
 
-    def _flow(self, call: Call, data: bytes) -> None:
+    def _flow(self, call: ClientRequest, data: bytes) -> None:
         """A piece of a body that goes on as it comes. It is held too, so that another box can be given all of
         it, as long as there is memory; else what comes waits until a box is reading."""
-        host, item = self.host, call.open
-        if not call.spent:
-            host.held += len(data)
-            call.charged += len(data)
+        host, item = self.host, call.active
+        if not call.body_start_dropped:
+            host.buffered_bytes += len(data)
+            call.charged_bytes += len(data)
             call.body.append(data)
         if item is not None:
             self.pieces.append(data)
-        if not call.spent and host.held > host.held_max:
-            if item is not None and host.spend(item):
+        if not call.body_start_dropped and host.buffered_bytes > host.buffer_limit:
+            if item is not None and host.try_discard_body(item):
                 self._pass_pieces(call)
-                call.spent = True
-                call.release()
+                call.body_start_dropped = True
+                call.release_body()
             else:
-                self.flow(False)
+                self.set_body_wanted(False)
 
-    def _pass_pieces(self, call: Call) -> None:
+    def _pass_pieces(self, call: ClientRequest) -> None:
         """Passes on what was read, in one write."""
         pieces, self.pieces = self.pieces, []
-        if pieces and call.open is not None:
-            self.host.body_came(call.open, pieces)
+        if pieces and call.active is not None:
+            self.host.body_received(call.active, pieces)
 
     def _end_turn(self) -> None:
         """Leaves the rest of a body for the next turn of the loop, which else reads a socket up to 32 times
@@ -297,13 +297,13 @@
         if not self.turn_over:
             self.turn_over = True
             self._read_on(False)
-            self.host.soon(self._next_turn, None)
+            self.host.call_soon(self._next_turn, None)
 
     def _next_turn(self, _: object = None) -> None:
         self.turn_over = False
         self._read_on(True)
 
-    def flow(self, on: bool) -> None:
+    def set_body_wanted(self, on: bool) -> None:
         """Whether more of the body that is arriving is wanted now; else the client's time stands still."""
         if on is (self.stopped_at is None) or self.transport is None or self.transport.is_closing():
             return
@@ -337,18 +337,18 @@
         if call is None:
             return
         call.arrived_at = self.active_at
-        call.earliest_at = self.host.stalls.earliest(self.active_at)
-        if call.flowing:
+        call.earliest_arrival_at = self.host.stalls.earliest_arrival(self.active_at)
+        if call.streams_body:
             self._pass_pieces(call)
-            call.whole = True
-            self.flow(True)
-            if call.dropped and not call.keep:
+            call.body_complete = True
+            self.set_body_wanted(True)
+            if call.drop_body and not call.keep_alive:
                 self.close()
-            if call.open is not None:
-                self.host.body_whole(call.open)
+            if call.active is not None:
+                self.host.finish_body(call.active)
             return
-        if call.size or call.method == b"PUT":
-            call.passed.append(b"Content-Length: %d\r\n" % call.size)
+        if call.body_size or call.method == b"PUT":
+            call.forwarded_headers.append(b"Content-Length: %d\r\n" % call.body_size)
         self.waiting.append(call)
         if len(self.waiting) >= WAITING_MAX and self.transport is not None:
             self.held_off = True
@@ -364,16 +364,16 @@
         call = self.arriving or self._call()
         self.arriving, self.in_head = None, False
         if call is self.current:  # its body was on the way to a box: that is over, and not whole
-            call.fault, call.keep, item = status, False, call.open
+            call.error_status, call.keep_alive, item = status, False, call.active
             if item is not None:
                 self.host.client_gone(item)
             self.fail(call, status)
             return
         if call in self.waiting:
             self.waiting.remove(call)
-        call.release()
-        call.fault, call.keep = status, False
-        if call.dropped:
+        call.release_body()
+        call.error_status, call.keep_alive = status, False
+        if call.drop_body:
             self.close()
             return
         self.waiting.append(call)
--- a/notchflow/net/client.py
+++ b/notchflow/net/client.py
@@ -12,7 +12,7 @@
 from httptools import HttpRequestParser
 
 from notchflow.net.arrival import ARRIVE_MS, BODY_MAX, BODY_RATE, Arrival, Entrance
-from notchflow.net.exchange import DEPARTED, REASONS, Answer, Call, Reply
+from notchflow.net.exchange import CLIENT_CLOSED, REASON_PHRASES, UpstreamResponse, ClientRequest, LocalReply
 from notchflow.net.heads import PLAIN, info_size, number_of, readable
 
 log = logging.getLogger(__name__)
@@ -46,15 +46,15 @@
         self.half_closed = False  # the client's end has been read
         self.closed_at = math.inf  # when a lingering close began
 
-    def _call(self) -> Call:
-        return Call(self, self.host)
+    def _call(self) -> ClientRequest:
+        return ClientRequest(self, self.host)
 
     # -- the transport's callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """asyncio: the connection is open."""
         self.transport = cast(asyncio.Transport, transport)
         self.parser = HttpRequestParser(self)
-        self.active_at = self.host.clock.turn()
+        self.active_at = self.host.clock.loop_time()
         self.due_since = None if self.known else self.active_at
         self.front.clients[self] = None
         self.front.idle[self] = None
@@ -69,26 +69,26 @@
         self.closing = True
         return True
 
-    def gone(self, now: float) -> bool:
+    def has_left(self, now: float) -> bool:
         """Whether it has left, or sends no more and may have left over LEFT_MS ago."""
         if self.transport is None:
             return True
         if self.half_closed:
-            return self.current is None or now > self.current.earliest_at + LEFT_MS
+            return self.current is None or now > self.current.earliest_arrival_at + LEFT_MS
         return self.lags and bool(self._poll(GONE))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """asyncio: the connection has ended, and with it every request on it."""
         self.transport = self.parser = None
         self.closing = True
-        self.host.held -= self.charged
+        self.host.buffered_bytes -= self.charged
         self.charged = 0
         calls = [c for c in (self.current, self.arriving, *self.waiting) if c is not None]
         self.current = self.arriving = None
         self.waiting.clear()
         for call in calls:
-            item = call.open
-            call.settle(DEPARTED)
+            item = call.active
+            call.finish(CLIENT_CLOSED)
             if item is not None:
                 self.host.client_gone(item)
         self.front.lost(self)
@@ -98,20 +98,20 @@
         self.paused = True
         if self.transport is not None:
             self._charge(self.transport.get_write_buffer_size())
-        if self.current is not None and self.current.open is not None:
-            self.host.pause(self.current.open, True)
+        if self.current is not None and self.current.active is not None:
+            self.host.set_response_paused(self.current.active, True)
 
     def resume_writing(self) -> None:
         """asyncio: the client has caught up."""
         self.paused = False
-        self.active_at = self.host.clock.turn()
+        self.active_at = self.host.clock.loop_time()
         self._charge(0)
-        if self.current is not None and self.current.open is not None:
-            self.host.pause(self.current.open, False)
+        if self.current is not None and self.current.active is not None:
+            self.host.set_response_paused(self.current.active, False)
         self._step()
 
     def _charge(self, size: int) -> None:
-        self.host.held += size - self.charged
+        self.host.buffered_bytes += size - self.charged
         self.charged = size
 
     def close(self) -> None:
@@ -135,7 +135,7 @@
     def _drop_waiting(self) -> None:
         """What was sent ahead of a close is not taken up."""
         for call in self.waiting:
-            call.settle(DEPARTED)
+            call.finish(CLIENT_CLOSED)
         self.waiting.clear()
 
     # -- one request after the other
@@ -186,21 +186,21 @@
                 self._read_on(True)
         self.stepping = False
 
-    def _begin(self, call: Call) -> None:
-        if call.reply is not None:
-            self._reply(call, call.reply)
+    def _begin(self, call: ClientRequest) -> None:
+        if call.local_reply is not None:
+            self._reply(call, call.local_reply)
             return
-        if call.fault:
-            self.fail(call, call.fault)
+        if call.error_status:
+            self.fail(call, call.error_status)
             return
-        if self.front.door is None and call.method == b"GET" and not call.spilled:
+        if self.front.door is None and call.method == b"GET" and not call.body_not_held:
             plain = PLAIN.fullmatch(call.url)
             if plain is not None:
                 self._request(call, plain[1].decode("ascii"))
                 return
         path = call.url.partition(b"?")[0]
         if path == READY:
-            self._write(call, 503 if self.host.duty.away or not self.host.informed() else 200, [], [], 0)
+            self._write(call, 503 if self.host.duty.away or not self.host.list_is_current() else 200, [], [], 0)
             return
         if self.front.door is not None:
             reply = self.front.door.begin(call)
@@ -215,15 +215,15 @@
             self.fail(call, 404)
         elif call.method not in (b"GET", b"PUT"):
             self.fail(call, 405)
-        elif call.spilled:
+        elif call.body_not_held:
             log.warning("memory is short: a request is refused")
-            call.counts = self.host.figures.take(call.fields.get(b"x-call-class", b"").decode("latin-1"))
+            call.class_counts = self.host.figures.take(call.headers.get(b"x-call-class", b"").decode("latin-1"))
             self.refuse(call, 0.0)
         else:
             self._request(call, key.decode("latin-1"))
 
-    def _request(self, call: Call, key: str) -> None:
-        fields = call.fields
+    def _request(self, call: ClientRequest, key: str) -> None:
+        fields = call.headers
         try:
             if not fields.get(b"x-call-id"):
                 raise ValueError("no X-Call-Id")
@@ -233,11 +233,11 @@
             self.fail(call, 400)
             return
         if b"host" not in fields:  # allowed to the platform's clients, not to us (RFC 9112 section 3.2)
-            call.passed.append(NO_HOST)
-        if call.flowing:
+            call.forwarded_headers.append(NO_HOST)
+        if call.streams_body:
             self._framed_anew(call)
         info, tenant = fields.get(b"x-call-info"), fields.get(b"x-caller")
-        self.host.request(
+        self.host.start_request(
             call,
             fields.get(b"x-call-class", b"").decode("latin-1"),
             budget if budget is None or budget < BUDGET_MAX_MS else BUDGET_MAX_MS,
@@ -249,22 +249,22 @@
             call.method == b"PUT",
         )
 
-    def _framed_anew(self, call: Call) -> None:
+    def _framed_anew(self, call: ClientRequest) -> None:
         """How a body that flows goes on; its time begins with its last byte, by when that must be there."""
-        length = b"%d" % call.size if call.whole else call.fields.get(b"content-length")
+        length = b"%d" % call.body_size if call.body_complete else call.headers.get(b"content-length")
         call.chunked = length is None
-        call.passed.append(
+        call.forwarded_headers.append(
             b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %b\r\n" % length
         )
-        if not call.whole:
-            left = (BODY_MAX if length is None else int(length)) - call.size
+        if not call.body_complete:
+            left = (BODY_MAX if length is None else int(length)) - call.body_size
             call.arrived_at = self.host.clock.now() + ARRIVE_MS + left / BODY_RATE
 
-    def serve(self, call: Call, answer: Answer) -> None:
+    def serve(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         """Answers with what a node answered."""
-        self._write(call, 200, answer.passed, answer.body, answer.size)
+        self._write(call, 200, answer.forwarded_headers, answer.body, answer.body_size)
 
-    def refuse(self, call: Call, retry_after_ms: float) -> None:
+    def refuse(self, call: ClientRequest, retry_after_ms: float) -> None:
         """Answers 503: nothing ran. `retry_after_ms`: when to come back, if positive."""
         if self.front.door is not None:
             self._reply(call, self.front.door.refused(retry_after_ms))
@@ -272,21 +272,21 @@
         extra = [b"Retry-After: %.3f\r\n" % (retry_after_ms / 1e3)] if retry_after_ms > 0 else []
         self._write(call, 503, extra, [], 0)
 
-    def fail(self, call: Call, status: int) -> None:
+    def fail(self, call: ClientRequest, status: int) -> None:
         """Failed, with no promise."""
         if self.front.door is not None:
             self._reply(call, self.front.door.failed(status))
         else:
             self._write(call, status, [], [], 0)
 
-    def answer(self, call: Call, reply: Reply) -> None:
+    def answer(self, call: ClientRequest, reply: LocalReply) -> None:
         """An answer of the door's, that it needed time for."""
         self._reply(call, reply)
 
-    def _reply(self, call: Call, reply: Reply) -> None:
+    def _reply(self, call: ClientRequest, reply: LocalReply) -> None:
         self._write(call, reply.status, list(reply.headers), [reply.body], len(reply.body))
 
-    def _write(self, call: Call, status: int, headers: list[bytes], body: list[bytes], size: int) -> None:
+    def _write(self, call: ClientRequest, status: int, headers: list[bytes], body: list[bytes], size: int) -> None:
         if self.transport is None or self.current is not call:
             return
         keep = self._keeps(call)
@@ -294,25 +294,25 @@
         self.transport.writelines(
             [
                 b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b"
-                % (status, REASONS[status], b"".join(headers), size, end),
+                % (status, REASON_PHRASES[status], b"".join(headers), size, end),
                 *body,
             ]
         )
         self._answered(call, keep, status)
 
-    def _keeps(self, call: Call) -> bool:
+    def _keeps(self, call: ClientRequest) -> bool:
         # What was sent ahead has been read: a close would lose it.
-        return call.keep and (bool(self.waiting) or not (self.host.duty.away or self.closing))
+        return call.keep_alive and (bool(self.waiting) or not (self.host.duty.away or self.closing))
 
-    def _answered(self, call: Call, keep: bool, status: int = 200) -> None:
-        call.settle(status)
+    def _answered(self, call: ClientRequest, keep: bool, status: int = 200) -> None:
+        call.finish(status)
         self.current = None
-        self.active_at = self.host.clock.turn()
+        self.active_at = self.host.clock.loop_time()
         if self.transport is None:
             return
         if self.arriving is call:  # a client that is cut off while it sends may never see its answer
-            call.dropped, call.keep = True, keep
-            self.flow(True)
+            call.drop_body, call.keep_alive = True, keep
+            self.set_body_wanted(True)
         elif not keep:  # else it was told that it may go on, and may be about to
             self._drop_waiting()
             self.close()
@@ -321,13 +321,13 @@
         elif self.arriving is None:
             self.front.idle[self] = None
 
-    def begin_stream(self, call: Call, answer: Answer) -> None:
+    def begin_stream(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         """A long answer begins: its head goes out."""
         if self.transport is None:
             return
         self.chunked = answer.length is None and call.chunks_allowed
         if answer.length is None and not self.chunked:
-            call.keep = False
+            call.keep_alive = False
         framing = (
             b"Content-Length: %d\r\n" % answer.length
             if answer.length is not None
@@ -335,10 +335,10 @@
             if self.chunked
             else b""
         )
-        call.keep = self._keeps(call)
+        call.keep_alive = self._keeps(call)
         self.transport.write(
             b"HTTP/1.1 200 OK\r\n%b%b%b\r\n"
-            % (b"".join(answer.passed), framing, b"" if call.keep else b"Connection: close\r\n")
+            % (b"".join(answer.forwarded_headers), framing, b"" if call.keep_alive else b"Connection: close\r\n")
         )
         for data in answer.body:
             self.stream(data)
@@ -352,20 +352,20 @@
         else:
             self.transport.write(data)
 
-    def end_stream(self, call: Call, whole: bool) -> None:
+    def end_stream(self, call: ClientRequest, whole: bool) -> None:
         """A long answer has ended; one that is not whole is cut off, so that the client can tell."""
         if self.transport is None:
             return
         if not whole:
-            call.settle(502)  # cut off: the client can tell
+            call.finish(502)  # cut off: the client can tell
             self.transport.abort()
             return
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
-        self._answered(call, call.keep)
+        self._answered(call, call.keep_alive)
 
     def _arrival_ms(self) -> float:
-        return ARRIVE_MS + (self.arriving.size / BODY_RATE if self.arriving is not None else 0.0)
+        return ARRIVE_MS + (self.arriving.body_size / BODY_RATE if self.arriving is not None else 0.0)
 
     def close_if_over(self, now: float) -> None:
         """Closes the connection where its client is too slow or silent for too long."""
@@ -373,8 +373,8 @@
             return
         if self.stopped_at is not None and not self.closing:  # it is not the client that is slow
             call = self.current
-            if now - self.stopped_at > STALLED_MS and call is not None and call.open is not None:
-                self.host.stuck(call.open)
+            if now - self.stopped_at > STALLED_MS and call is not None and call.active is not None:
+                self.host.body_stalled(call.active)
             return
         buffered = self.transport.get_write_buffer_size()
         if now - self.closed_at > (STALLED_MS if buffered else LINGER_MS):
--- a/notchflow/net/clock.py
+++ b/notchflow/net/clock.py
@@ -9,16 +9,16 @@
 class Clock:
     """Unix time in milliseconds at the start, then monotonic: steps of the wall clock do no harm."""
 
-    __slots__ = ("base", "loop")
+    __slots__ = ("offset_ms", "loop")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.base = (time.time() - time.monotonic()) * 1e3
+        self.offset_ms = (time.time() - time.monotonic()) * 1e3
 
     def now(self) -> float:
         """The present moment."""
-        return self.base + time.monotonic() * 1e3
+        return self.offset_ms + time.monotonic() * 1e3
 
-    def turn(self) -> float:
+    def loop_time(self) -> float:
         """The time at which the loop's present turn began."""
-        return self.base + self.loop.time() * 1e3
+        return self.offset_ms + self.loop.time() * 1e3
--- a/notchflow/net/config.py
+++ b/notchflow/net/config.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from notchflow.interface import Settings
-from notchflow.net.listing import Address, Listing, decode_listing, parse_address
+from notchflow.net.node_list import Address, NodeList, decode_node_list, parse_address
 from notchflow.operations.shape import Shape, missing, shape_of
 from notchflow.settings import decode, integer, number
 
@@ -31,7 +31,7 @@
     discovery: Address | None  # none: the fleet is the fixed list that is known
     seed: int
     settings: Settings
-    known: Listing
+    known: NodeList
     report_fields: tuple[str, ...] = ()
     conn_idle_ms: float = CONN_IDLE_MS
     memory_mb: float = MEMORY_MB
@@ -86,7 +86,7 @@
         seed=_seed(data.get("seed", 0)),
         settings=settings,
         report_fields=report_fields,
-        known=_read("known", decode_listing, known) if known else Listing(0, True, (), {}),
+        known=_read("known", decode_node_list, known) if known else NodeList(0, True, (), {}),
         conn_idle_ms=number(idle_ms, "Limits.ConnIdleMs"),
         memory_mb=number(limits.get("memory_mb", MEMORY_MB), "limits.memory_mb"),
         sockets=integer(limits.get("sockets", SOCKETS), "limits.sockets"),
--- a/notchflow/net/connection.py
+++ b/notchflow/net/connection.py
@@ -10,7 +10,7 @@
 
 from httptools import HttpParserError, HttpResponseParser
 
-from notchflow.net.exchange import HOP_BY_HOP, Answer, Dialler
+from notchflow.net.exchange import HOP_BY_HOP, UpstreamResponse, ConnectionHost
 
 log = logging.getLogger(__name__)
 
@@ -34,18 +34,18 @@
     program, so what one shows holds for all.
     """
 
-    __slots__ = ("stated_ms", "ms", "uses", "breaks", "faded_at")
+    __slots__ = ("configured_ms", "limit_ms", "uses", "breaks", "faded_at")
 
     def __init__(self, conn_idle_ms: float) -> None:
-        self.stated_ms = self.ms = RETIRE_SHARE * conn_idle_ms
+        self.configured_ms = self.limit_ms = RETIRE_SHARE * conn_idle_ms
         self.uses = [0.0] * (len(AGES_MS) + 1)
         self.breaks = [0.0] * (len(AGES_MS) + 1)
         self.faded_at = 0.0
 
-    def state(self, conn_idle_ms: float) -> None:
+    def configure(self, conn_idle_ms: float) -> None:
         """The settings state another time."""
-        self.stated_ms = RETIRE_SHARE * conn_idle_ms
-        self.ms = min(self.ms, self.stated_ms)
+        self.configured_ms = RETIRE_SHARE * conn_idle_ms
+        self.limit_ms = min(self.limit_ms, self.configured_ms)
         self._judge()
 
     def count(self, age: float | None, broken: bool) -> None:
@@ -55,7 +55,7 @@
             self.breaks[0 if age is None else bisect_right(AGES_MS, age)] += 1
             self._judge()
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Halves the counts from time to time, so that what has passed is forgotten."""
         if now >= self.faded_at + FADE_MS:
             self.faded_at = now
@@ -65,7 +65,7 @@
 
     def _judge(self) -> None:
         """Gives up the ages beyond the edge at which that saves most, if it saves anything for certain."""
-        best, edge = (GAIN_MIN / 2 if self.ms < self.stated_ms else GAIN_MIN), self.stated_ms
+        best, edge = (GAIN_MIN / 2 if self.limit_ms < self.configured_ms else GAIN_MIN), self.configured_ms
         uses, breaks = self.uses[0], self.breaks[0]
         old_uses, old_breaks = sum(self.uses) - uses, sum(self.breaks) - breaks
         for step, age in enumerate(AGES_MS, 1):
@@ -74,7 +74,7 @@
                 best, edge = gain, age
             uses, breaks = uses + self.uses[step], breaks + self.breaks[step]
             old_uses, old_breaks = old_uses - self.uses[step], old_breaks - self.breaks[step]
-        self.ms = min(edge, self.stated_ms)
+        self.limit_ms = min(edge, self.configured_ms)
 
 
 class Exchange(Protocol):
@@ -87,13 +87,13 @@
     def chunks(self, now: float) -> list[bytes]:
         """The request's bytes; `now` tells what is left of its time."""
 
-    def stream(self, answer: Answer) -> bool:
+    def stream(self, answer: UpstreamResponse) -> bool:
         """An answer too long to be held has begun; whether it is wanted."""
 
     def streamed(self, data: bytes) -> None:
         """A part of such an answer."""
 
-    def answered(self, answer: Answer, sent: bool) -> None:
+    def answered(self, answer: UpstreamResponse, sent: bool) -> None:
         """A whole answer. `sent`: the request's last byte had been written before."""
 
     def failed(self, sent: bool) -> None:
@@ -118,7 +118,7 @@
 class Owner(Protocol):
     """The pool that a connection belongs to."""
 
-    host: Dialler
+    host: ConnectionHost
     limit: IdleLimit
 
     def opened(self, connection: Connection) -> None:
@@ -150,7 +150,7 @@
         "sent",
         "counted",
         "idle_since",
-        "heard_at",
+        "last_read_at",
         "begun_at",
         "age",
         "held",
@@ -162,12 +162,12 @@
         self.transport: asyncio.Transport | None = None
         self.parser: HttpResponseParser | None = None
         self.exchange: Exchange | None = None
-        self.answer = Answer()
+        self.answer = UpstreamResponse()
         self.in_head = self.complete = self.surplus = self.streaming = self.delimited = self.keep = False
         self.head_size = 0
         self.sent = False  # the request's last byte has gone to the kernel
         self.counted = True  # against the budget of descriptors
-        self.idle_since = self.heard_at = self.begun_at = 0.0
+        self.idle_since = self.last_read_at = self.begun_at = 0.0
         self.age: float | None = None
         self.held = False  # the client reads more slowly than the answer comes
         self.turn_over = False  # enough of an answer was read in this turn of the loop
@@ -177,7 +177,7 @@
         """asyncio: the connection is open. Its owner hears a turn later."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)  # so resume_writing tells that the last byte has gone
-        self.pool.host.soon(self._opened, None)
+        self.pool.host.call_soon(self._opened, None)
 
     def _opened(self, _: object) -> None:
         """A turn later: the end of a client that lay unread beside this has been read by now."""
@@ -216,7 +216,7 @@
         if not self.turn_over and self.transport is not None:
             self.turn_over = True
             self._read_on()
-            self.pool.host.soon(self._next_turn, None)
+            self.pool.host.call_soon(self._next_turn, None)
 
     def _next_turn(self, _: object = None) -> None:
         self.turn_over = False
@@ -247,7 +247,7 @@
         if self.exchange is None or self.parser is None:
             self.close()
             return
-        self.heard_at = self.pool.host.clock.turn()
+        self.last_read_at = self.pool.host.clock.loop_time()
         try:
             self.parser.feed_data(data)
         except HttpParserError as error:
@@ -288,7 +288,7 @@
             self.parser = HttpResponseParser(self)
         self.begun_at, self.age = now, age
         self.exchange, exchange.connection = exchange, self
-        self.answer = Answer()
+        self.answer = UpstreamResponse()
         self.in_head, self.head_size = True, 0
         self.complete = self.surplus = self.streaming = self.delimited = self.keep = self.sent = False
         if self.held:  # the last answer ended just as its client was too slow for it
@@ -342,9 +342,9 @@
             return  # trailers, or a second answer that nobody asked for
         low, answer = name.lower(), self.answer
         if low in OWN or low in HOP_BY_HOP:
-            answer.fields[low] = value
+            answer.headers[low] = value
         else:
-            answer.passed.append(b"%b: %b\r\n" % (name, value))
+            answer.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         """Parser: the head is whole."""
@@ -353,19 +353,19 @@
         code = self.parser.get_status_code()
         answer = self.answer
         if 100 <= code < 200:
-            answer.fields.clear()
-            answer.passed.clear()
+            answer.headers.clear()
+            answer.forwarded_headers.clear()
             return  # an interim answer: the final one follows
         self.in_head = False
-        answer.code, answer.begun_at = code, self.heard_at
-        if b"content-length" in answer.fields:
-            answer.length = int(answer.fields[b"content-length"])
-        elif b"transfer-encoding" not in answer.fields:
+        answer.code, answer.begun_at = code, self.last_read_at
+        if b"content-length" in answer.headers:
+            answer.length = int(answer.headers[b"content-length"])
+        elif b"transfer-encoding" not in answer.headers:
             self.delimited = True
-        named = answer.fields.get(b"connection")
-        if named is not None and answer.passed:
+        named = answer.headers.get(b"connection")
+        if named is not None and answer.forwarded_headers:
             drop = tuple(t.strip().lower() + b":" for t in named.split(b","))
-            answer.passed = [line for line in answer.passed if not line.lower().startswith(drop)]
+            answer.forwarded_headers = [line for line in answer.forwarded_headers if not line.lower().startswith(drop)]
         if answer.length is None or answer.length <= self.exchange.hold_max:
             return
         if answer.length > LENGTH_MAX:
@@ -382,9 +382,9 @@
             self.exchange.streamed(data)
             return
         answer = self.answer
-        answer.size += len(data)
+        answer.body_size += len(data)
         answer.body.append(data)
-        if answer.size > self.exchange.hold_max:
+        if answer.body_size > self.exchange.hold_max:
             self._stream()
 
     def on_message_complete(self) -> None:
--- a/notchflow/net/console.py
+++ b/notchflow/net/console.py
@@ -10,7 +10,7 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from notchflow.net.clock import Clock
-from notchflow.net.exchange import REASONS, Reply
+from notchflow.net.exchange import REASON_PHRASES, LocalReply
 
 log = logging.getLogger(__name__)
 
@@ -44,20 +44,20 @@
         """The figures."""
 
 
-def answer(operated: Operated, method: str, path: str) -> Reply:
+def answer(operated: Operated, method: str, path: str) -> LocalReply:
     """What a call is answered with, after it is carried out."""
     allowed = METHODS.get(path)
     if allowed is None:
-        return Reply(404, TEXT, f"no such call; there are {', '.join(METHODS)}\n".encode())
+        return LocalReply(404, TEXT, f"no such call; there are {', '.join(METHODS)}\n".encode())
     if method != allowed:
-        return Reply(405, (f"Allow: {allowed}\r\n".encode(),), b"")
+        return LocalReply(405, (f"Allow: {allowed}\r\n".encode(),), b"")
     if path == METRICS:
-        return Reply(200, TEXT, operated.report().encode())
+        return LocalReply(200, TEXT, operated.report().encode())
     if path == STATUS:
         done, no = operated.serving(), 503
     else:
         done, no = operated.standby() if path == STANDBY else operated.active(), 409
-    return Reply(200, TEXT, b"yes\n") if done else Reply(no, TEXT, b"no: not ready, or told to end\n")
+    return LocalReply(200, TEXT, b"yes\n") if done else LocalReply(no, TEXT, b"no: not ready, or told to end\n")
 
 
 class Caller(asyncio.Protocol):
@@ -71,7 +71,7 @@
         self.url = b""
         self.size = 0
         self.since = console.operated.clock.now()
-        self.due: Reply | None = None
+        self.due: LocalReply | None = None
         self.unsent = b""  # of an answer that was longer than the kernel took at once
 
     def feed(self, data: bytes) -> bytes:
@@ -84,9 +84,9 @@
         except HttpParserUpgrade:
             pass  # the call itself came whole
         except HttpParserError:
-            self.due = self.due or Reply(400)
+            self.due = self.due or LocalReply(400)
         if self.due is None and self.size > CALL_MAX:
-            self.due = Reply(413)
+            self.due = LocalReply(413)
         return b"" if self.due is None else written(self.due)
 
     def on_url(self, url: bytes) -> None:
@@ -102,7 +102,7 @@
             self.due = answer(self.console.operated, self.parser.get_method().decode(), path)
         except Exception:
             log.exception("a call failed")
-            self.due = Reply(503)
+            self.due = LocalReply(503)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """asyncio: the caller's connection is open."""
@@ -126,7 +126,7 @@
         if self.due is not None:
             self.drop()  # it does not read its answer
         else:
-            self.due = Reply(408)
+            self.due = LocalReply(408)
             self.end(written(self.due))
 
     def drop(self) -> None:
@@ -140,11 +140,11 @@
         self.console.callers.pop(self, None)
 
 
-def written(reply: Reply) -> bytes:
+def written(reply: LocalReply) -> bytes:
     """An answer as it is sent."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\nConnection: close\r\n\r\n%b" % (
         reply.status,
-        REASONS[reply.status],
+        REASON_PHRASES[reply.status],
         b"".join(reply.headers),
         len(reply.body),
         reply.body,
--- a/notchflow/net/discovery.py
+++ b/notchflow/net/discovery.py
@@ -10,13 +10,13 @@
 from notchflow.interface import ListKind, Membership
 from notchflow.net.clock import Clock
 from notchflow.net.connection import Connection, IdleLimit
-from notchflow.net.exchange import Answer, Teller
-from notchflow.net.listing import Address, Listing, decode_listing, node_id, parse_address
+from notchflow.net.exchange import UpstreamResponse, DiscoveryHost
+from notchflow.net.node_list import Address, NodeList, decode_node_list, node_id, parse_address
 from notchflow.net.pool import Pool
-from notchflow.net.timers import Calendar, Handle
-from notchflow.net.watch import Action, Ask, Drop, Failed, Take, Watch
+from notchflow.net.timers import TimerWheel, TimerId
+from notchflow.net.watch import WatchAction, StartCall, CancelCall, ReportFailure, ApplyList, ListWatch
 
-__all__ = ["Address", "Call", "Discovery", "Listing", "decode_listing", "node_id", "parse_address"]
+__all__ = ["Address", "Call", "Discovery", "NodeList", "decode_node_list", "node_id", "parse_address"]
 
 log = logging.getLogger(__name__)
 
@@ -31,20 +31,20 @@
     """The host as discovery's connections see it: their descriptors are kept apart, for a proxy that has used
     up its own must hear of the list all the same. `host.RESERVED` counts the two that may be open."""
 
-    def __init__(self, host: Teller) -> None:
+    def __init__(self, host: DiscoveryHost) -> None:
         self.loop: asyncio.AbstractEventLoop = host.loop
         self.clock: Clock = host.clock
-        self.timers: Calendar = host.timers
-        self.at: Callable[..., Handle] = host.at
-        self.soon = host.soon
+        self.timers: TimerWheel = host.timers
+        self.call_at: Callable[..., TimerId] = host.call_at
+        self.call_soon = host.call_soon
 
-    def descriptor(self) -> bool:
+    def acquire_descriptor(self) -> bool:
         return True
 
-    def freed(self) -> None:
+    def release_descriptor(self) -> None:
         """Nothing was counted."""
 
-    def starving(self) -> bool:
+    def has_waiting_dials(self) -> bool:
         """These descriptors are nobody else's."""
         return False
 
@@ -52,45 +52,45 @@
 class Discovery:
     """Carries out what the watch decides: calls on sockets, lists to the host, failures to the module."""
 
-    def __init__(self, host: Teller, address: Address | None, revision: int, seed: int) -> None:
+    def __init__(self, host: DiscoveryHost, address: Address | None, revision: int, seed: int) -> None:
         self.host = host
         self.fixed = address is None  # nobody to ask: the list that is known is all there ever is
         self.reserve = Reserve(host)
         self.pool = self._pool(address or ("", 0))
         settings = host.settings
-        self.watching = Watch(revision, settings.list_on_request, seed, settings.rules)
+        self.list_watch = ListWatch(revision, settings.list_on_request, seed, settings.rules)
         self.calls: dict[int, Call] = {}
-        self.timer: Handle | None = None
+        self.timer: TimerId | None = None
         self.timer_at = float("inf")
         self.patient_until = float("inf")
 
     @property
     def revision(self) -> int | None:
         """The revision of the list that is known; none before the first."""
-        return self.watching.revision
+        return self.list_watch.revision
 
     @revision.setter
     def revision(self, revision: int) -> None:
         """The revision of the list that is known; none before the first."""
-        self.watching.revision = revision
+        self.list_watch.revision = revision
 
     @property
-    def informed(self) -> bool:
+    def list_is_current(self) -> bool:
         """Whether the list is as new as may be expected of a new process."""
-        watch = self.watching
+        watch = self.list_watch
         return (
             watch.heard_at is not None
-            or watch.asked
+            or watch.on_request
             or self.fixed
             or self.host.clock.now() >= self.patient_until
         )
 
     def age_ms(self, now: float) -> float | None:
         """For how long nothing was heard; none where nothing was heard yet."""
-        heard = self.watching.heard_at
+        heard = self.list_watch.heard_at
         return None if heard is None else now - heard
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The process starts. Where lists are asked for the module says when to call first."""
         self.patient_until = self.host.clock.now() + PATIENCE_MS
         if not self.host.settings.list_on_request:
@@ -99,15 +99,15 @@
     def watch(self, on: bool) -> None:
         """Begins the watch, or ends it after the answer that is out."""
         if not self.fixed:
-            self._do(self.watching.want(self.host.clock.now(), on))
+            self._do(self.list_watch.set_wanted(self.host.clock.now(), on))
 
-    def retuned(self) -> None:
+    def settings_changed(self) -> None:
         """The settings are others."""
         if not self.fixed:
             settings = self.host.settings
-            self._do(self.watching.mode(self.host.clock.now(), settings.list_on_request, settings.rules))
+            self._do(self.list_watch.mode(self.host.clock.now(), settings.list_on_request, settings.rules))
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Goes on at another address, from the revision that is known."""
         if address == self.pool.address:
             return
@@ -115,52 +115,52 @@
         self.fixed = False
         self.pool.retire()
         self.pool = self._pool(address)
-        self._do(self.watching.move(self.host.clock.now()))
+        self._do(self.list_watch.restart(self.host.clock.now()))
 
     def _pool(self, address: Address) -> Pool:
         return Pool(self.reserve, address, CONNECT_MS, IdleLimit(IDLE_MS))
 
-    def ended(self, number: int, listing: Listing | None, problem: str) -> None:
+    def ended(self, number: int, listing: NodeList | None, problem: str) -> None:
         """A call has ended, with a list or without."""
         del self.calls[number]
         now = self.host.clock.now()
         if listing is None:
-            self._do(self.watching.failed(now, number, problem))
+            self._do(self.list_watch.failed(now, number, problem))
         else:
-            self._do(self.watching.answered(now, number, listing, self.host.emptied(listing)))
+            self._do(self.list_watch.answered(now, number, listing, self.host.removes_all_nodes(listing)))
 
     def _wake(self, _: object = None) -> None:
         self.timer = None
-        self._do(self.watching.wake(self.host.clock.now()))
+        self._do(self.list_watch.wake(self.host.clock.now()))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _do(self, actions: list[WatchAction]) -> None:
         for action in actions:
             match action:
-                case Ask(number, revision, wait_ms):
+                case StartCall(number, revision, wait_ms):
                     query = b"" if revision is None else b"?index=%d&wait=%d" % (revision, wait_ms)
                     self.calls[number] = call = Call(self, number, REQUEST % query)
                     self.pool.send(call, self.host.clock.now())
-                case Drop(number):
+                case CancelCall(number):
                     self.calls.pop(number).drop()
-                case Take(listing, kind):
+                case ApplyList(listing, kind):
                     self.host.apply(listing, kind)
-                    self.host.pass_on(listing)
-                case Failed(problem, watched):
+                    self.host.share_list(listing)
+                case ReportFailure(problem, watched):
                     self.host.figures.registry_failures += 1
                     log.warning("discovery: %s", problem)
                     if not watched:
-                        self.host.tell(Membership(ListKind.FAILED))
+                        self.host.dispatch(Membership(ListKind.FAILED))
         self._arm()
 
     def _arm(self) -> None:
-        due = self.watching.wake_at
+        due = self.list_watch.wake_at
         if self.timer is not None:
             if due == self.timer_at:
                 return
             self.host.timers.cancel(self.timer)
             self.timer = None
         if due < float("inf"):
-            self.timer, self.timer_at = self.host.at(due, self._wake), due
+            self.timer, self.timer_at = self.host.call_at(due, self._wake), due
 
 
 class Call:
@@ -179,7 +179,7 @@
         """What is written."""
         return [self.data]
 
-    def stream(self, answer: Answer) -> bool:
+    def stream(self, answer: UpstreamResponse) -> bool:
         """An answer too long to be a list ends the call."""
         self._end(None, f"an answer of over {LIST_MAX} bytes")
         return False
@@ -187,13 +187,13 @@
     def streamed(self, data: bytes) -> None:
         """Never called: nothing of discovery's is streamed."""
 
-    def answered(self, answer: Answer, sent: bool) -> None:
+    def answered(self, answer: UpstreamResponse, sent: bool) -> None:
         """A whole answer: a list, or what is wrong with it."""
         if answer.code != 200:
             self._end(None, f"status {answer.code}")
             return
         try:
-            listing = decode_listing(json.loads(b"".join(answer.body)))
+            listing = decode_node_list(json.loads(b"".join(answer.body)))
         except (ValueError, RecursionError) as error:
             self._end(None, str(error)[:200])
             return
@@ -221,7 +221,7 @@
     def blocked(self, on: bool) -> None:
         """Never called: a call is written whole."""
 
-    def _end(self, listing: Listing | None, problem: str) -> None:
+    def _end(self, listing: NodeList | None, problem: str) -> None:
         if not self.over:
             self.drop()
             self.discovery.ended(self.number, listing, problem)
--- a/notchflow/net/desk.py
+++ b/notchflow/net/dispatcher.py
@@ -36,11 +36,11 @@
 from notchflow.net.clock import Clock
 from notchflow.net.config import Config
 from notchflow.net.discovery import Discovery
-from notchflow.net.exchange import DEPARTED, Answer, Call, Open
+from notchflow.net.exchange import CLIENT_CLOSED, UpstreamResponse, ClientRequest, ActiveRequest
 from notchflow.net.front import Front
 from notchflow.net.pool import Pool
 from notchflow.net.stalls import StallDetector
-from notchflow.net.timers import Calendar, Handle
+from notchflow.net.timers import TimerWheel, TimerId
 from notchflow.operations.figures import Figures
 from notchflow.policy.balancer import Balancer
 
@@ -51,7 +51,7 @@
 DESCRIPTOR_WAIT_MS = 100.0
 
 
-class Desk:
+class Dispatcher:
     """What one proxy has in hand: requests and their attempts, timers, descriptors."""
 
     discovery: Discovery
@@ -59,42 +59,42 @@
     fronts: list[Front]
     settings: Settings
     classes: dict[str, float]  # their deadlines
-    longest_ms: float
+    longest_deadline_ms: float
     max_attempts: int
-    descriptors: int
-    descriptors_whole: int
-    held_max: float
-    held_whole: float
+    descriptor_limit: int
+    total_descriptor_limit: int
+    buffer_limit: float
+    total_buffer_limit: float
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, clock: Clock | None = None) -> None:
         self.config, self.loop = config, loop
         self.clock = clock or Clock(loop)
         self.balancer = Balancer(config.settings, config.seed, self.clock.now())
-        self.open: dict[int, Open] = {}
+        self.active_requests: dict[int, ActiveRequest] = {}
         self.numbers = 0
         self.pools: dict[int, Pool] = {}
         self.inbox: deque[Event] = deque()
         self.telling = False
         self.now = 0.0  # when the module was last asked: what it decided begins then
-        self.timers = Calendar()
+        self.timers = TimerWheel()
         self.stalls = StallDetector(self.clock.now())
         self.armed: asyncio.TimerHandle | None = None
         self.armed_for = float("inf")
-        self.used = 0
+        self.descriptors_used = 0
         self.starved: dict[Attempt, None] = {}  # dials that wait for a descriptor, in order
-        self.held = 0
-        self.answer_by = float("inf")  # no request is held longer than this, once the process is to end
+        self.buffered_bytes = 0
+        self.answer_deadline = float("inf")  # no request is held longer than this, once the process is to end
         self.figures = Figures()
 
     # -- time
-    def at(self, due: float, call: Callable[..., None], argument: Any = None) -> Handle:
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
         """Calls back at a time, never before, unless `timers.cancel` is given the handle."""
         handle = self.timers.set(due, call, argument)
         if due < self.armed_for:
             self._arm(due)
         return handle
 
-    def soon(self, call: Callable[..., None], argument: Any) -> None:
+    def call_soon(self, call: Callable[..., None], argument: Any) -> None:
         """Calls back in the loop's next turn."""
         self.loop.call_soon(call, argument)
 
@@ -125,22 +125,22 @@
             self._arm(following)
 
     # -- budgets
-    def descriptor(self) -> bool:
+    def acquire_descriptor(self) -> bool:
         """Takes a descriptor for a dial, if there is one or an idle connection to a node can give its own."""
-        if self.used >= self.descriptors and not self.spare():
+        if self.descriptors_used >= self.descriptor_limit and not self.close_idle_connection():
             return False
-        self.used += 1
+        self.descriptors_used += 1
         return True
 
-    def freed(self) -> None:
+    def release_descriptor(self) -> None:
         """A descriptor has been given back: dials that wait come before new clients."""
-        self.used -= 1
+        self.descriptors_used -= 1
         if self.starved:
-            self.soon(self._resume_dials, None)
+            self.call_soon(self._resume_dials, None)
         for front in self.fronts:
             front.resume()
 
-    def spare(self) -> bool:
+    def close_idle_connection(self) -> bool:
         """Closes the connection to a node that has been idle for longest, if there is one."""
         idle = [p for p in self.pools.values() if p.idle]
         if not idle:
@@ -152,7 +152,7 @@
     def await_descriptor(self, attempt: Attempt) -> None:
         """A dial waits for the next descriptor: to close a client's connection might lose its request."""
         self.starved[attempt] = None
-        self.at(self.clock.now() + DESCRIPTOR_WAIT_MS, self._still_starved, attempt)
+        self.call_at(self.clock.now() + DESCRIPTOR_WAIT_MS, self._still_starved, attempt)
 
     def _still_starved(self, attempt: Attempt) -> None:
         """None has come free for a while: an idle client gives way, or the attempt is over."""
@@ -165,17 +165,17 @@
         attempt.unsent()
 
     def _resume_dials(self, _: object) -> None:
-        while self.starved and self.used < self.descriptors:
+        while self.starved and self.descriptors_used < self.descriptor_limit:
             attempt = next(iter(self.starved))
             del self.starved[attempt]
             self._begin(attempt)
 
-    def starving(self) -> bool:
+    def has_waiting_dials(self) -> bool:
         """Whether dials wait for descriptors."""
         return bool(self.starved)
 
     # -- the module
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """Hands the module an event and carries out its answer; what follows from that comes after it."""
         if self.telling:
             self.inbox.append(event)
@@ -199,7 +199,7 @@
 
     def _give_up(self, event: Event) -> None:
         number = getattr(event, "id", None)
-        item = self.open.get(number) if number is not None else None
+        item = self.active_requests.get(number) if number is not None else None
         if item is not None and not item.done:
             self._fail(item)
             if not isinstance(event, ClientGone):
@@ -208,32 +208,32 @@
     def _perform(self, action: Action) -> None:
         match action:
             case Refuse(number, wait):
-                item = self.open.get(number)
+                item = self.active_requests.get(number)
                 if item is not None and not item.done:
                     self._end(item)
-                    item.call.client.refuse(item.call, wait)
+                    item.client_request.client.refuse(item.client_request, wait)
             case Fail(number):
-                item = self.open.get(number)
+                item = self.active_requests.get(number)
                 if item is not None:
                     self._fail(item)
             case Cancel(number, attempt):
-                item = self.open.get(number)
-                out = item.out.get(attempt) if item is not None else None
+                item = self.active_requests.get(number)
+                out = item.outstanding_attempts.get(attempt) if item is not None else None
                 if out is not None and self.settings.limits.cancel and not out.started:
                     out.abandon(Status.CANCELLED)
             case SetTimer(at, token):
-                self.at(at, self._timer, token)
+                self.call_at(at, self._timer, token)
             case Watch(on):
                 self.discovery.watch(on)
             case Probe(node):
                 self.inbox.append(Probed(node, Status.MOOT))
 
     def _timer(self, token: str) -> None:
-        self.tell(Timer(token))
+        self.dispatch(Timer(token))
 
     def _send(self, action: Send) -> None:
         number, node, timeout, before = action
-        item = self.open.get(number)
+        item = self.active_requests.get(number)
         if item is None:
             log.error("the module sent a request that is over")
             return
@@ -242,20 +242,20 @@
         if (
             pool is None
             or item.done
-            or item.streaming is not None
+            or item.streaming_attempt is not None
             or now >= item.deadline
             or attempt_number >= self.max_attempts
-            or item.call.spent
-            or (item.out and not self.settings.limits.second_copies)
+            or item.client_request.body_start_dropped
+            or (item.outstanding_attempts and not self.settings.limits.second_copies)
         ):
             self.inbox.append(Outcome(number, attempt_number, node, Status.MOOT, closed=item.done))
             return
         expires = item.deadline if timeout is None else min(item.deadline, now + timeout)
         attempt = Attempt(self, item, attempt_number, node, pool, now, expires, before)
-        item.out[attempt_number] = attempt
+        item.outstanding_attempts[attempt_number] = attempt
         if expires < item.deadline:
-            attempt.timer = self.at(expires, self._expire, attempt)
-        if attempt_number or item.call.earliest_at != self.clock.turn():
+            attempt.timer = self.call_at(expires, self._expire, attempt)
+        if attempt_number or item.client_request.earliest_arrival_at != self.clock.loop_time():
             self.once_read(self._begin, attempt)
         else:
             pool.send(attempt, now)
@@ -275,9 +275,9 @@
             attempt.abandon(Status.TIMEOUT)
 
     # -- the life of a request
-    def request(
+    def start_request(
         self,
-        call: Call,
+        call: ClientRequest,
         cls: str,
         budget_ms: float | None,
         key: str | None = None,
@@ -291,26 +291,26 @@
         """Takes a request in hand: from here on it is owed its one final answer. `earlier`: so many
         milliseconds ago a request with the same effect may first have run."""
         if budget_ms is None:
-            budget_ms = self.classes.get(cls, self.longest_ms)
+            budget_ms = self.classes.get(cls, self.longest_deadline_ms)
         self.numbers = number = self.numbers + 1
-        arriving = call.flowing and not call.whole
+        arriving = call.streams_body and not call.body_complete
         deadline = call.arrived_at + budget_ms
-        if deadline > self.answer_by:
-            deadline = self.answer_by
-        call.counts = self.figures.take(cls)
-        call.open = item = Open(number, call, deadline)
+        if deadline > self.answer_deadline:
+            deadline = self.answer_deadline
+        call.class_counts = self.figures.take(cls)
+        call.active = item = ActiveRequest(number, call, deadline)
         if deadline <= self.clock.now():
             item.last = Status.TIMEOUT
             self._fail(item)
             return
-        if call.client.gone(self.clock.now()):
+        if call.client.has_left(self.clock.now()):
             self._depart(item)
             return
         if arriving:
             item.budget_ms = budget_ms
-        self.open[number] = item
-        item.timer = self.at(deadline, self._deadline, number)
-        self.tell(
+        self.active_requests[number] = item
+        item.timer = self.call_at(deadline, self._deadline, number)
+        self.dispatch(
             Request(
                 number,
                 cls,
@@ -327,124 +327,124 @@
         )
 
     # -- bodies that flow
-    def body_came(self, item: Open, pieces: Sequence[bytes]) -> None:
+    def body_received(self, item: ActiveRequest, pieces: Sequence[bytes]) -> None:
         """Pieces of a long body, for the attempts that are under way."""
-        for attempt in list(item.out.values()):
+        for attempt in list(item.outstanding_attempts.values()):
             attempt.more(pieces)
 
-    def body_whole(self, item: Open) -> None:
+    def finish_body(self, item: ActiveRequest) -> None:
         """All of it has come: the client's time counts from now on."""
         if item.done:
             return
-        item.deadline = min(self.clock.now() + item.budget_ms, self.answer_by)
+        item.deadline = min(self.clock.now() + item.budget_ms, self.answer_deadline)
         if item.timer is not None:
             self.timers.cancel(item.timer)
-        item.timer = self.at(item.deadline, self._deadline, item.id)
-        for attempt in list(item.out.values()):
+        item.timer = self.call_at(item.deadline, self._deadline, item.id)
+        for attempt in list(item.outstanding_attempts.values()):
             attempt.body_ended()
-        self.tell(BodyArrived(item.id, item.deadline))
+        self.dispatch(BodyArrived(item.id, item.deadline))
 
-    def spend(self, item: Open) -> bool:
+    def try_discard_body(self, item: ActiveRequest) -> bool:
         """Whether the start of the body need not be held any more, as a box is getting it."""
-        if item.done or len(item.out) != 1 or any(a.connection is None for a in item.out.values()):
+        if item.done or len(item.outstanding_attempts) != 1 or any(a.connection is None for a in item.outstanding_attempts.values()):
             return False
-        self.tell(BodyDiscarded(item.id))
+        self.dispatch(BodyDiscarded(item.id))
         return True
 
-    def stuck(self, item: Open) -> None:
+    def body_stalled(self, item: ActiveRequest) -> None:
         """A box does not take the body any more: without its last byte it cannot have run."""
-        self._call_off(item)
+        self._abandon_attempts(item)
 
-    def _call_off(self, item: Open) -> None:
-        for attempt in list(item.out.values()):
+    def _abandon_attempts(self, item: ActiveRequest) -> None:
+        for attempt in list(item.outstanding_attempts.values()):
             attempt.abandon(Status.CONNECT_FAILED)
 
     def _deadline(self, number: int) -> None:
-        item = self.open.get(number)
-        if item is None or item.streaming is not None:
+        item = self.active_requests.get(number)
+        if item is None or item.streaming_attempt is not None:
             return
-        for attempt in list(item.out.values()):
+        for attempt in list(item.outstanding_attempts.values()):
             attempt.abandon(Status.TIMEOUT)
         if not item.done:  # the module held it too long
             self._fail(item)
-            self.tell(ClientGone(item.id))
+            self.dispatch(ClientGone(item.id))
 
-    def _depart(self, item: Open) -> None:
+    def _depart(self, item: ActiveRequest) -> None:
         """Ends a request for which nothing may begin, as its client has gone. A client that has only closed
         its sending side is still told, by 503, that nothing ran."""
-        call = item.call
-        call.settle(DEPARTED)
+        call = item.client_request
+        call.finish(CLIENT_CLOSED)
         self.client_gone(item)
         if item.may_have_run:
             call.client.fail(call, 502)
         else:
             call.client.refuse(call, 0.0)
 
-    def client_gone(self, item: Open) -> None:
+    def client_gone(self, item: ActiveRequest) -> None:
         """The client has left: nothing is owed to it any more, and the module hears of it."""
         if item.done:
             return
         self._end(item)
-        if item.streaming is not None:
-            item.streaming.abandon(Status.CANCELLED)
-        if item.call.flowing and not item.call.whole:  # whatever may be cancelled: the rest never comes
-            self._call_off(item)
-        self.tell(ClientGone(item.id))
+        if item.streaming_attempt is not None:
+            item.streaming_attempt.abandon(Status.CANCELLED)
+        if item.client_request.streams_body and not item.client_request.body_complete:  # whatever may be cancelled: the rest never comes
+            self._abandon_attempts(item)
+        self.dispatch(ClientGone(item.id))
 
-    def stream_started(self, attempt: Attempt, answer: Answer) -> bool:
+    def stream_started(self, attempt: Attempt, answer: UpstreamResponse) -> bool:
         """A long answer begins; whether it is this one that the client gets."""
         item = attempt.open
-        if item.done or item.streaming is not None:
+        if item.done or item.streaming_attempt is not None:
             return False
-        item.streaming = attempt
-        item.call.client.begin_stream(item.call, answer)
-        self.tell(StreamStarted(item.id, attempt.number, attempt.node))
+        item.streaming_attempt = attempt
+        item.client_request.client.begin_stream(item.client_request, answer)
+        self.dispatch(StreamStarted(item.id, attempt.number, attempt.node))
         return True
 
-    def pause(self, item: Open, paused: bool) -> None:
+    def set_response_paused(self, item: ActiveRequest, paused: bool) -> None:
         """A client reads a long answer too slowly, or has caught up: its node waits or goes on."""
-        connection = item.streaming.connection if item.streaming else None
+        connection = item.streaming_attempt.connection if item.streaming_attempt else None
         if connection is not None:
             if not paused:
-                connection.heard_at = self.clock.now()
+                connection.last_read_at = self.clock.now()
             connection.hold(paused)
 
-    def outcome(self, attempt: Attempt, status: Status, answer: Answer | None) -> None:
+    def outcome(self, attempt: Attempt, status: Status, answer: UpstreamResponse | None) -> None:
         """An attempt has ended. The first 200 and the end of a stream are the request's final answer."""
         item = attempt.open
-        item.out.pop(attempt.number, None)
+        item.outstanding_attempts.pop(attempt.number, None)
         if self.starved:  # it wants no descriptor any more
             self.starved.pop(attempt, None)
         item.last = status
         if not status.never_ran:
             item.may_have_run = True
-            if item.call.ticket is not None:
-                item.call.ran = True
-        if status is MOOT and not (item.done or item.out) and item.call.client.gone(self.clock.now()):
+            if item.client_request.ticket is not None:
+                item.client_request.ran = True
+        if status is MOOT and not (item.done or item.outstanding_attempts) and item.client_request.client.has_left(self.clock.now()):
             self._depart(item)
         if not item.done:
-            call = item.call
+            call = item.client_request
             if attempt.started:
                 item.done = True
                 call.client.end_stream(call, status is OK)
             elif answer is not None and status is OK:
                 item.done = True
                 call.client.serve(call, answer)
-        if item.streaming is attempt:
-            item.streaming = None  # else the two would keep one another until the collector comes
+        if item.streaming_attempt is attempt:
+            item.streaming_attempt = None  # else the two would keep one another until the collector comes
         hit = load = None
         if answer is not None:
-            ended, hit = answer.begun_at, answer.fields.get(b"x-hit")
-            if b"x-load-report" in answer.fields:
+            ended, hit = answer.begun_at, answer.headers.get(b"x-hit")
+            if b"x-load-report" in answer.headers:
                 load = load_report(answer, self.config.report_fields)
         else:
-            ended = self.clock.turn()
+            ended = self.clock.loop_time()
         if attempt.timer is not None:
             self.timers.cancel(attempt.timer)
-        if item.done and not item.out:
+        if item.done and not item.outstanding_attempts:
             self._forget(item)
         took = ended - attempt.begun_at
-        self.tell(
+        self.dispatch(
             Outcome(
                 item.id,
                 attempt.number,
@@ -457,19 +457,19 @@
             )
         )
 
-    def _fail(self, item: Open) -> None:
+    def _fail(self, item: ActiveRequest) -> None:
         if not item.done:
             self._end(item)
             late = item.last is Status.TIMEOUT or self.clock.now() >= item.deadline
-            item.call.client.fail(item.call, 504 if late else 502)
+            item.client_request.client.fail(item.client_request, 504 if late else 502)
 
-    def _end(self, item: Open) -> None:
+    def _end(self, item: ActiveRequest) -> None:
         item.done = True
-        if not item.out:
+        if not item.outstanding_attempts:
             self._forget(item)
 
-    def _forget(self, item: Open) -> None:
+    def _forget(self, item: ActiveRequest) -> None:
         """Nothing is owed and nothing is out: its deadline matters no more."""
-        self.open.pop(item.id, None)
+        self.active_requests.pop(item.id, None)
         if item.timer is not None:
             self.timers.cancel(item.timer)
--- a/notchflow/net/exchange.py
+++ b/notchflow/net/exchange.py
@@ -10,9 +10,9 @@
 
 from notchflow.interface import Event, ListKind, Settings, Status
 from notchflow.net.clock import Clock
-from notchflow.net.listing import Listing
+from notchflow.net.node_list import NodeList
 from notchflow.net.stalls import StallDetector
-from notchflow.net.timers import Calendar, Handle
+from notchflow.net.timers import TimerWheel, TimerId
 from notchflow.operations.duty import Duty
 from notchflow.operations.figures import ClassCounts, Figures
 
@@ -30,8 +30,8 @@
         b"proxy-authorization",
     }
 )
-DEPARTED = 0  # in place of a status: the client left before its answer
-REASONS = {
+CLIENT_CLOSED = 0  # in place of a status: the client left before its answer
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -51,58 +51,58 @@
 }
 
 
-class Answer:
+class UpstreamResponse:
     """A node's answer as it comes in."""
 
-    __slots__ = ("code", "fields", "passed", "body", "size", "length", "begun_at")
+    __slots__ = ("code", "headers", "forwarded_headers", "body", "body_size", "length", "begun_at")
 
     def __init__(self) -> None:
         self.code = 0
-        self.fields: dict[bytes, bytes] = {}
-        self.passed: list[bytes] = []
+        self.headers: dict[bytes, bytes] = {}
+        self.forwarded_headers: list[bytes] = []
         self.body: list[bytes] = []
-        self.size = 0
+        self.body_size = 0
         self.length: int | None = None
         self.begun_at = 0.0
 
 
-class Asker(Protocol):
+class Downstream(Protocol):
     """The client's side of a request in hand: it takes the one final answer."""
 
     paused: bool
 
-    def serve(self, call: Call, answer: Answer) -> None:
+    def serve(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         """Answers with what a node answered."""
 
-    def refuse(self, call: Call, retry_after_ms: float) -> None:
+    def refuse(self, call: ClientRequest, retry_after_ms: float) -> None:
         """Answers that nothing ran. `retry_after_ms`: when to come back, if positive."""
 
-    def fail(self, call: Call, status: int) -> None:
+    def fail(self, call: ClientRequest, status: int) -> None:
         """Answers that the request failed, with no promise."""
 
-    def answer(self, call: Call, reply: Reply) -> None:
+    def answer(self, call: ClientRequest, reply: LocalReply) -> None:
         """Answers with a reply of the proxy's own."""
 
-    def begin_stream(self, call: Call, answer: Answer) -> None:
+    def begin_stream(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         """A long answer begins."""
 
     def stream(self, data: bytes) -> None:
         """A part of a long answer."""
 
-    def end_stream(self, call: Call, whole: bool) -> None:
+    def end_stream(self, call: ClientRequest, whole: bool) -> None:
         """A long answer has ended, whole or cut off."""
 
-    def flow(self, on: bool) -> None:
+    def set_body_wanted(self, on: bool) -> None:
         """Whether more of the body that is arriving is wanted now."""
 
-    def gone(self, now: float) -> bool:
+    def has_left(self, now: float) -> bool:
         """Whether the client has closed its connection, so that nothing may begin for it any more."""
 
 
 class Link(Protocol):
     """The connection that a streamed answer comes on."""
 
-    heard_at: float
+    last_read_at: float
 
     def hold(self, on: bool) -> None:
         """Reads no more of an answer, or goes on."""
@@ -126,7 +126,7 @@
     def body_ended(self) -> None:
         """The body is whole."""
 
-    def unwritten_to(self, pools: Collection[object]) -> bool:
+    def is_writing_to(self, pools: Collection[object]) -> bool:
         """Whether it goes to one of these pools, and a part of the request is still to be written."""
 
 
@@ -137,12 +137,12 @@
         """Counts bytes held; false where they are over the tenant's limit."""
 
     def done(self, status: int, ran: bool) -> None:
-        """The request is over: answered with this status, or DEPARTED. Called once. `ran`: an
+        """The request is over: answered with this status, or CLIENT_CLOSED. Called once. `ran`: an
         attempt may have run, or may yet."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class LocalReply:
     """An answer of the proxy's own."""
 
     status: int
@@ -153,10 +153,10 @@
 class Ledger(Protocol):
     """Where bytes held in memory are counted."""
 
-    held: int
+    buffered_bytes: int
 
 
-class Call:
+class ClientRequest:
     """One request as a client sent it."""
 
     __slots__ = (
@@ -164,182 +164,182 @@
         "ledger",
         "method",
         "url",
-        "fields",
-        "passed",
+        "headers",
+        "forwarded_headers",
         "body",
-        "size",
-        "charged",
-        "spilled",
-        "keep",
+        "body_size",
+        "charged_bytes",
+        "body_not_held",
+        "keep_alive",
         "chunks_allowed",
         "arrived_at",
-        "earliest_at",
-        "open",
-        "fault",
+        "earliest_arrival_at",
+        "active",
+        "error_status",
         "ticket",
-        "reply",
-        "counts",
-        "flowing",
-        "whole",
-        "spent",
+        "local_reply",
+        "class_counts",
+        "streams_body",
+        "body_complete",
+        "body_start_dropped",
         "chunked",
-        "dropped",
+        "drop_body",
         "ran",
     )
 
-    def __init__(self, client: Asker, ledger: Ledger) -> None:
+    def __init__(self, client: Downstream, ledger: Ledger) -> None:
         self.client, self.ledger = client, ledger
         self.method = self.url = b""
-        self.fields: dict[bytes, bytes] = {}
-        self.passed: list[bytes] = []
+        self.headers: dict[bytes, bytes] = {}
+        self.forwarded_headers: list[bytes] = []
         self.body: list[bytes] = []
-        self.size = 0
-        self.charged = 0  # bytes counted as held
-        self.spilled = False
-        self.keep = False
+        self.body_size = 0
+        self.charged_bytes = 0  # bytes counted as held
+        self.body_not_held = False
+        self.keep_alive = False
         self.chunks_allowed = True
         self.arrived_at = 0.0
-        self.earliest_at = 0.0  # when it may have come: before it was read, if the process stood still
-        self.open: Open | None = None
-        self.fault = 0  # the status that a request which never reaches the module is answered with
+        self.earliest_arrival_at = 0.0  # when it may have come: before it was read, if the process stood still
+        self.active: ActiveRequest | None = None
+        self.error_status = 0  # the status that a request which never reaches the module is answered with
         self.ticket: Ticket | None = None
-        self.counts: ClassCounts | None = None  # where its end is counted, once it is taken
-        self.flowing = False  # a long body: the request begins before that is whole
-        self.whole = False  # of one that flows: the last byte has come
-        self.spent = False  # and the first ones are not held any more
-        self.dropped = False  # it is answered already: the rest of it is read and dropped
+        self.class_counts: ClassCounts | None = None  # where its end is counted, once it is taken
+        self.streams_body = False  # a long body: the request begins before that is whole
+        self.body_complete = False  # of one that flows: the last byte has come
+        self.body_start_dropped = False  # and the first ones are not held any more
+        self.drop_body = False  # it is answered already: the rest of it is read and dropped
         self.chunked = False  # it goes on in chunks, as its length is not known
         self.ran = False  # an attempt may have run; kept where there is a ticket
-        self.reply: Reply | None = None  # settled at the end of the head: the body is read and dropped
+        self.local_reply: LocalReply | None = None  # settled at the end of the head: the body is read and dropped
 
-    def release(self) -> None:
+    def release_body(self) -> None:
         """Lets go of the body and of the bytes that are counted for it."""
-        if self.charged:
-            self.ledger.held -= self.charged
-            self.charged = 0
+        if self.charged_bytes:
+            self.ledger.buffered_bytes -= self.charged_bytes
+            self.charged_bytes = 0
         if self.body:
             self.body = []
 
-    def settle(self, status: int) -> None:
+    def finish(self, status: int) -> None:
         """The request is over for its client. What it was to the host is let go of, as that refers back: the
         collector, which stops the loop, must find nothing to do."""
-        self.release()
-        item, self.open = self.open, None
-        counts, self.counts = self.counts, None
+        self.release_body()
+        item, self.active = self.active, None
+        counts, self.class_counts = self.class_counts, None
         if counts is not None:
             counts.end(status)
         ticket, self.ticket = self.ticket, None
         if ticket is not None:
-            ticket.done(status, self.ran or (item is not None and bool(item.out)))
+            ticket.done(status, self.ran or (item is not None and bool(item.outstanding_attempts)))
 
 
-class Open:
+class ActiveRequest:
     """A request in hand and its attempts."""
 
     __slots__ = (
         "id",
-        "call",
+        "client_request",
         "deadline",
         "budget_ms",
         "attempts",
-        "out",
+        "outstanding_attempts",
         "done",
-        "streaming",
+        "streaming_attempt",
         "last",
         "may_have_run",
         "timer",
-        "counts",
+        "class_counts",
     )
 
-    def __init__(self, number: int, call: Call, deadline: float) -> None:
+    def __init__(self, number: int, call: ClientRequest, deadline: float) -> None:
         self.id = number
-        self.call = call
-        self.counts = call.counts  # its attempts are counted there, also after its end
+        self.client_request = call
+        self.class_counts = call.class_counts  # its attempts are counted there, also after its end
         self.deadline = deadline
         self.budget_ms = 0.0  # from the last byte of a body that is still arriving
         self.attempts = 0
-        self.out: dict[int, Try] = {}
+        self.outstanding_attempts: dict[int, Try] = {}
         self.done = False
-        self.streaming: Try | None = None
+        self.streaming_attempt: Try | None = None
         self.last: Status | None = None
         self.may_have_run = False  # by an attempt that has ended
-        self.timer: Handle | None = None
+        self.timer: TimerId | None = None
 
 
-class Dialler(Protocol):
+class ConnectionHost(Protocol):
     """What connections to nodes and to discovery need of the host."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
-    timers: Calendar
+    timers: TimerWheel
 
-    def at(self, due: float, call: Callable[..., None], argument: Any = None) -> Handle:
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
         """Calls back at a time, in milliseconds on the clock."""
 
-    def soon(self, call: Callable[..., None], argument: Any) -> None:
+    def call_soon(self, call: Callable[..., None], argument: Any) -> None:
         """Calls back in the loop's next turn."""
 
-    def descriptor(self) -> bool:
+    def acquire_descriptor(self) -> bool:
         """Takes a descriptor for a dial; false where there is none."""
 
-    def freed(self) -> None:
+    def release_descriptor(self) -> None:
         """A descriptor has been given back."""
 
-    def starving(self) -> bool:
+    def has_waiting_dials(self) -> bool:
         """Whether dials wait for descriptors: an idle connection would keep one from them."""
 
 
-class Teller(Dialler, Protocol):
+class DiscoveryHost(ConnectionHost, Protocol):
     """What discovery needs of the host."""
 
     settings: Settings
     figures: Figures
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """Hands the module an event."""
 
-    def apply(self, listing: Listing, kind: ListKind) -> None:
+    def apply(self, listing: NodeList, kind: ListKind) -> None:
         """Takes over a list of nodes, or changes to it."""
 
-    def emptied(self, listing: Listing) -> bool:
+    def removes_all_nodes(self, listing: NodeList) -> bool:
         """Whether a whole list would leave nothing of the one that is known."""
 
-    def pass_on(self, listing: Listing) -> None:
+    def share_list(self, listing: NodeList) -> None:
         """Tells other processes of this proxy what discovery told this one."""
 
 
-class Gatekeeper(Protocol):
+class ClientHost(Protocol):
     """What clients' connections need of the host."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
     stalls: StallDetector
-    held: int
-    held_max: float
-    used: int
-    descriptors: int  # that may be in use now; another process may have the rest for a while
-    descriptors_whole: int
+    buffered_bytes: int
+    buffer_limit: float
+    descriptors_used: int
+    descriptor_limit: int  # that may be in use now; another process may have the rest for a while
+    total_descriptor_limit: int
     duty: Duty
     figures: Figures
 
-    def at(self, due: float, call: Callable[..., None], argument: Any = None) -> Handle:
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
         """Calls back at a time, in milliseconds on the clock."""
 
-    def soon(self, call: Callable[..., None], argument: Any) -> None:
+    def call_soon(self, call: Callable[..., None], argument: Any) -> None:
         """Calls back in the loop's next turn."""
 
-    def freed(self) -> None:
+    def release_descriptor(self) -> None:
         """A descriptor has been given back."""
 
-    def spare(self) -> bool:
+    def close_idle_connection(self) -> bool:
         """Closes the connection to a node that has been idle for longest, if there is one."""
 
-    def informed(self) -> bool:
+    def list_is_current(self) -> bool:
         """Whether clients may come: the list is as new as may be expected of a new process."""
 
-    def request(
+    def start_request(
         self,
-        call: Call,
+        call: ClientRequest,
         cls: str,
         budget_ms: float | None,
         key: str | None = None,
@@ -351,37 +351,37 @@
     ) -> None:
         """Takes a request in hand: it is owed its one final answer."""
 
-    def client_gone(self, item: Open) -> None:
+    def client_gone(self, item: ActiveRequest) -> None:
         """The client of a request has left."""
 
-    def body_came(self, item: Open, pieces: Sequence[bytes]) -> None:
+    def body_received(self, item: ActiveRequest, pieces: Sequence[bytes]) -> None:
         """Pieces of a long body, for the attempts that are under way."""
 
-    def body_whole(self, item: Open) -> None:
+    def finish_body(self, item: ActiveRequest) -> None:
         """All of it has come: the client's time counts from now on."""
 
-    def stuck(self, item: Open) -> None:
+    def body_stalled(self, item: ActiveRequest) -> None:
         """A box does not take the body any more."""
 
-    def spend(self, item: Open) -> bool:
+    def try_discard_body(self, item: ActiveRequest) -> bool:
         """Whether the start of the body need not be held any more, as a box is getting it."""
 
-    def pause(self, item: Open, paused: bool) -> None:
+    def set_response_paused(self, item: ActiveRequest, paused: bool) -> None:
         """A client reads a long answer too slowly, or has caught up."""
 
 
-class Door(Protocol):
+class Gateway(Protocol):
     """What stands before the module where requests are not the platform's own: who asks, for what class, and
     in which words it is turned away."""
 
-    def head(self, call: Call) -> None:
+    def head(self, call: ClientRequest) -> None:
         """The head has come: may set `ticket`, or `reply` where the request is turned away already."""
 
-    def begin(self, call: Call) -> Reply | None:
+    def begin(self, call: ClientRequest) -> LocalReply | None:
         """The request is whole: hands it to the host, or says why not."""
 
-    def refused(self, retry_after_ms: float) -> Reply:
+    def refused(self, retry_after_ms: float) -> LocalReply:
         """The words for a refusal of the module's."""
 
-    def failed(self, status: int) -> Reply:
+    def failed(self, status: int) -> LocalReply:
         """The words for a failure."""
--- a/notchflow/net/front.py
+++ b/notchflow/net/front.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from notchflow.net.client import Client
-from notchflow.net.exchange import Door, Gatekeeper
+from notchflow.net.exchange import Gateway, ClientHost
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 class Front:
     """The listener and its clients."""
 
-    def __init__(self, host: Gatekeeper, address: tuple[str, int], door: Door | None = None) -> None:
+    def __init__(self, host: ClientHost, address: tuple[str, int], door: Gateway | None = None) -> None:
         self.host = host
         self.door = door
         self.address = address
@@ -73,12 +73,12 @@
     def _room(self) -> bool:
         host = self.host
         count = len(self.clients) + len(self.adopting)
-        few = count < SERVED_SHARE * host.descriptors_whole
-        if few and host.used < host.descriptors:
+        few = count < SERVED_SHARE * host.total_descriptor_limit
+        if few and host.descriptors_used < host.descriptor_limit:
             return True
         if not self._somebody_waits():
             return True
-        return (few and host.spare()) or self.close_idle()
+        return (few and host.close_idle_connection()) or self.close_idle()
 
     def _somebody_waits(self) -> bool:
         """Whether there is a connection to accept: no room is made for none."""
@@ -111,13 +111,13 @@
         now = self.host.clock.now()
         if not self.looking:
             self.looking = True
-            self.host.at(now + ROOM_AGAIN_MS, self._look_again)
+            self.host.call_at(now + ROOM_AGAIN_MS, self._look_again)
         if now >= self.short_told + ROOM_TOLD_MS:
             self.short_told = now
             log.warning(
                 "no descriptors left: %d of %d in use, %d clients, %d of them idle; accepting pauses",
-                self.host.used,
-                self.host.descriptors,
+                self.host.descriptors_used,
+                self.host.descriptor_limit,
                 len(self.clients),
                 len(self.idle),
             )
@@ -143,10 +143,10 @@
             except OSError as error:
                 log.warning("accept failed: %s", error)
                 self._pause()
-                self.host.at(self.host.clock.now() + 50.0, self._look_again)
+                self.host.call_at(self.host.clock.now() + 50.0, self._look_again)
                 return
             sock.setblocking(False)
-            self.host.used += 1
+            self.host.descriptors_used += 1
             self.adopt(sock)
 
     def adopt(self, sock: socket.socket, known: bool = False) -> None:
@@ -160,7 +160,7 @@
             await self.host.loop.connect_accepted_socket(lambda: Client(self, known), sock)
         except OSError:
             sock.close()
-            self.host.freed()
+            self.host.release_descriptor()
 
     def close(self) -> bool:
         """Takes what waits to be accepted and closes what is idle; whether all clients have gone."""
@@ -206,7 +206,7 @@
         self.clients.pop(client, None)
         self.lingering.pop(client, None)
         self.idle.pop(client, None)  # else the dead stay for good, and closing one of them makes no room
-        self.host.freed()
+        self.host.release_descriptor()
 
     def sweep(self, now: float) -> None:
         """Closes clients that have been silent, or still, for too long. Very many are looked at in parts,
@@ -220,7 +220,7 @@
         for client in part:
             client.close_if_over(now)
         if self.sweeping:
-            self.host.soon(self._sweep_on, now)
+            self.host.call_soon(self._sweep_on, now)
 
 
 def inherit(descriptor: int) -> socket.socket:
--- a/notchflow/net/host.py
+++ b/notchflow/net/host.py
@@ -12,11 +12,11 @@
 from notchflow.net.config import Config
 from notchflow.net.connection import IdleLimit
 from notchflow.net.console import Console, callers_of
-from notchflow.net.desk import Desk
+from notchflow.net.dispatcher import Dispatcher
 from notchflow.net.discovery import Discovery
-from notchflow.net.exchange import Door
+from notchflow.net.exchange import Gateway
 from notchflow.net.front import Front
-from notchflow.net.listing import Address, Listing, decode_listing, encode_member
+from notchflow.net.node_list import Address, NodeList, decode_node_list, encode_member
 from notchflow.net.pool import Pool
 from notchflow.net.succession import FDS_MAX, Link, Succession
 from notchflow.operations.duty import Duty, Phase
@@ -36,22 +36,22 @@
 DRAIN_STEP_MS, STANDBY_STEP_MS = 20.0, 50.0
 
 
-class Host(Desk):
+class Host(Dispatcher):
     """One proxy."""
 
     def __init__(
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        door: Door | None = None,
+        door: Gateway | None = None,
         clock: Clock | None = None,
     ) -> None:
         super().__init__(config, loop, clock)
         self.idle_limit = IdleLimit(config.conn_idle_ms)
         callers = callers_of(config.sockets) if config.console is not None else 0
-        self.descriptors = self.descriptors_whole = max(config.sockets - RESERVED - callers, 8)
+        self.descriptor_limit = self.total_descriptor_limit = max(config.sockets - RESERVED - callers, 8)
         base = BASE_MB + (BESIDE_MB if config.accept_fd is not None else 0.0)
-        self.held_max = self.held_whole = max(config.memory_mb - base, 16.0) * HELD_SHARE * (1 << 20)
+        self.buffer_limit = self.total_buffer_limit = max(config.memory_mb - base, 16.0) * HELD_SHARE * (1 << 20)
         self.stop_by = float("inf")
         self.duty = Duty()
         self._take_over(config)
@@ -69,8 +69,8 @@
         state = self.succession.ask() if self.succession is not None else None
         if state is None or not self._inherit(state):
             self.apply(self.config.known, ListKind.CACHED)
-        self.discovery.begin()
-        self.at(self.clock.now() + SWEEP_MS, self._sweep)
+        self.discovery.start()
+        self.call_at(self.clock.now() + SWEEP_MS, self._sweep)
         self._beat()
         for front in self.fronts:
             front.listen()
@@ -87,11 +87,11 @@
         changed = config.settings != self.settings
         self._take_over(config)
         if changed:
-            self.tell(SettingsChanged(config.settings))
-            self.discovery.retuned()
+            self.dispatch(SettingsChanged(config.settings))
+            self.discovery.settings_changed()
         self.config = config
         if config.discovery is not None:
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
 
     # -- replacement
     def state(self) -> dict[str, Any]:
@@ -103,7 +103,7 @@
             "learned": self.balancer.export_state(self.clock.now()),
         }
 
-    def pass_on(self, listing: Listing) -> None:
+    def share_list(self, listing: NodeList) -> None:
         """Tells other processes of this proxy what discovery told this one: the rules see one proxy."""
         if self.succession is None or not self.succession.links or not listing.members:
             return
@@ -115,7 +115,7 @@
     def hear(self, news: dict[str, Any]) -> None:
         """What another process of this proxy was told. Its entries leave the own revision as it is."""
         if "listing" in news:
-            self.apply(decode_listing(news["listing"]), ListKind.DELTA)
+            self.apply(decode_node_list(news["listing"]), ListKind.DELTA)
         elif news["duty"] == Phase.STANDBY.value:
             self._stand_by()
         else:
@@ -124,7 +124,7 @@
     def _inherit(self, state: dict[str, Any]) -> bool:
         """Begins with what the process before this one tells, unless the list that is known is newer."""
         try:
-            listing = decode_listing(state["listing"])
+            listing = decode_node_list(state["listing"])
             if listing.revision < self.config.known.revision:
                 listing = self.config.known
             self.apply(listing, ListKind.CACHED)
@@ -140,17 +140,17 @@
 
     def divide(self, shares: Shares) -> None:
         """The limits hold for all processes of this proxy together."""
-        self.descriptors = max(shares.descriptors(self.descriptors_whole), 8)
-        self.held_max = shares.held(self.held_whole)
+        self.descriptor_limit = max(shares.descriptors(self.total_descriptor_limit), 8)
+        self.buffer_limit = shares.held(self.total_buffer_limit)
 
     def usage(self) -> tuple[int, int]:
         """Descriptors in use, and bytes held."""
-        return self.used, self.held
+        return self.descriptors_used, self.buffered_bytes
 
     def welcome(self, sock: socket.socket) -> None:
         """Goes on with a client's connection that the process before this one had."""
         sock.setblocking(False)
-        self.used += 1
+        self.descriptors_used += 1
         self.front.adopt(sock, known=True)
 
     def take_on(self, sock: socket.socket, node: int, address: str, idle_ms: float) -> None:
@@ -160,18 +160,18 @@
             pool is None
             or pool.retired
             or "{}:{}".format(*pool.address) != address
-            or self.used >= self.descriptors
+            or self.descriptors_used >= self.descriptor_limit
         ):
             sock.close()
             return
-        self.used += 1
+        self.descriptors_used += 1
         pool.adopt(sock, idle_ms)
 
     def _pass_boxes(self, heir: Link) -> None:
         """Passes idle connections to boxes on, so that the other process need not dial each time."""
         assert self.succession is not None
         for node, pool in self.pools.items():
-            while not heir.over and (given := pool.pass_on(FDS_MAX)):
+            while not heir.over and (given := pool.export_idle(FDS_MAX)):
                 address = "{}:{}".format(*pool.address)
                 self.succession.pass_boxes(
                     heir,
@@ -197,17 +197,17 @@
         if now >= self.stop_by or not (self.front.clients or self.front.adopting or self.succession.passing):
             self.loop.stop()
         else:
-            self.at(now + DRAIN_STEP_MS, self._succeed)
+            self.call_at(now + DRAIN_STEP_MS, self._succeed)
 
     def _take_over(self, config: Config) -> None:
         self.settings = settings = config.settings
         self.classes = {c.name: c.deadline_ms for c in settings.classes}
-        self.longest_ms = max(self.classes.values())
+        self.longest_deadline_ms = max(self.classes.values())
         self.max_attempts = settings.limits.max_attempts
         self.figures.know(self.classes)
-        self.idle_limit.state(config.conn_idle_ms)
+        self.idle_limit.configure(config.conn_idle_ms)
         for pool in self.pools.values():
-            pool.connect_ms = settings.limits.connect_timeout_ms
+            pool.connect_timeout_ms = settings.limits.connect_timeout_ms
 
     def stop(self) -> None:
         """The process is to end: what was taken is answered, and clients go elsewhere."""
@@ -218,13 +218,13 @@
         log.info("draining")
         if self.succession is not None:
             self.succession.leave()
-        self.answer_by = now + self.longest_ms + ANSWER_BY_MS
-        self.stop_by = now + self.longest_ms + STOP_BY_MS
+        self.answer_deadline = now + self.longest_deadline_ms + ANSWER_BY_MS
+        self.stop_by = now + self.longest_deadline_ms + STOP_BY_MS
         if heir is not None:
             self.front.shut()
             self._succeed()
         else:
-            self.at(now + ACCEPT_ON_MS, self._drain)
+            self.call_at(now + ACCEPT_ON_MS, self._drain)
 
     def serving(self) -> bool:
         """Whether this process takes clients: from its start on until it is told to end."""
@@ -241,7 +241,7 @@
         done = self.duty.standby(now)
         if begun:
             log.info("on standby")
-            self.at(now + STANDBY_STEP_MS, self._send_away)
+            self.call_at(now + STANDBY_STEP_MS, self._send_away)
         return done
 
     def active(self) -> bool:
@@ -253,7 +253,7 @@
     def _send_away(self, _: object = None) -> None:
         if self.duty.phase is Phase.STANDBY:
             now = self.clock.now()
-            self.at(now + STANDBY_STEP_MS, self._send_away)
+            self.call_at(now + STANDBY_STEP_MS, self._send_away)
             for front in self.fronts:
                 front.close_still(now)
 
@@ -274,24 +274,24 @@
         if all([front.close() for front in self.fronts]) or now >= self.stop_by:
             self.loop.stop()
         else:
-            self.at(now + DRAIN_STEP_MS, self._drain)
+            self.call_at(now + DRAIN_STEP_MS, self._drain)
 
     def _beat(self, _: object = None) -> None:
-        self.at(self.stalls.beat(self.clock.now()), self._beat)
+        self.call_at(self.stalls.mark_running(self.clock.now()), self._beat)
 
     def _sweep(self, _: object = None) -> None:
         now = self.clock.now()
-        self.at(now + SWEEP_MS, self._sweep)
-        self.idle_limit.fade(now)
+        self.call_at(now + SWEEP_MS, self._sweep)
+        self.idle_limit.decay(now)
         for node, pool in list(self.pools.items()):
-            pool.sweep(now)
+            pool.close_expired(now)
             if pool.retired and not pool.dials:
                 del self.pools[node]
-        for item in list(self.open.values()):
-            attempt = item.streaming
-            if attempt is None or attempt.connection is None or item.call.client.paused:
+        for item in list(self.active_requests.values()):
+            attempt = item.streaming_attempt
+            if attempt is None or attempt.connection is None or item.client_request.client.paused:
                 continue
-            if attempt.connection.heard_at + STALL_MS < now:
+            if attempt.connection.last_read_at + STALL_MS < now:
                 attempt.abandon(Status.RESET)
         for front in self.fronts:
             front.sweep(now)
@@ -299,7 +299,7 @@
             self.console.sweep(now)
 
     # -- the list
-    def apply(self, listing: Listing, kind: ListKind) -> None:
+    def apply(self, listing: NodeList, kind: ListKind) -> None:
         """Takes over a list: where the nodes are for the pools, the rest for the module."""
         addresses = listing.addresses or {}
         retired: list[Pool] = []
@@ -317,24 +317,24 @@
         self._list(listing)
         for pool in retired:
             pool.retire()
-        self.tell(Membership(kind, listing.members, listing.revision))
+        self.dispatch(Membership(kind, listing.members, listing.revision))
         for pool in retired:  # now that the module knows better than to send there again
-            pool.undial()
+            pool.cancel_dials()
         # and what is still being written there, as it would count as new with its last byte
-        flowing = [item for item in self.open.values() if item.call.flowing] if retired else ()
+        flowing = [item for item in self.active_requests.values() if item.client_request.streams_body] if retired else ()
         for item in flowing:
-            if any(attempt.unwritten_to(retired) for attempt in item.out.values()):
-                self._call_off(item)
+            if any(attempt.is_writing_to(retired) for attempt in item.outstanding_attempts.values()):
+                self._abandon_attempts(item)
 
-    def emptied(self, listing: Listing) -> bool:
+    def removes_all_nodes(self, listing: NodeList) -> bool:
         """Whether a whole list would leave nothing of the one that is known."""
         return listing.complete and not listing.members and bool(self.listed)
 
-    def informed(self) -> bool:
+    def list_is_current(self) -> bool:
         """Whether clients may come: the list is as new as may be expected of a new process."""
-        return self.discovery.informed
+        return self.discovery.list_is_current
 
-    def _list(self, listing: Listing) -> None:
+    def _list(self, listing: NodeList) -> None:
         names, addresses = listing.names or {}, listing.addresses or {}
         for member in listing.members:
             if member.state is State.GONE:
--- a/notchflow/net/listing.py
+++ b/notchflow/net/node_list.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class NodeList:
     """One answer of discovery: the whole list or the entries that changed."""
 
     revision: int
@@ -56,7 +56,7 @@
     }
 
 
-def decode_listing(data: object) -> Listing:
+def decode_node_list(data: object) -> NodeList:
     """A list in discovery's form; a ValueError says what is wrong with it."""
     if not isinstance(data, dict):
         raise ValueError("expected an object with revision, complete and members")
@@ -75,7 +75,7 @@
             raise ValueError(f"members[{place}]: {entry['id']!r:.120} is there twice")
         members.append(member)
         addresses[member.node], names[member.node] = address, entry["id"]
-    return Listing(revision, complete, tuple(members), addresses, names)
+    return NodeList(revision, complete, tuple(members), addresses, names)
 
 
 def _decode_member(entry: Any) -> tuple[Member, Address]:
--- a/notchflow/net/pool.py
+++ b/notchflow/net/pool.py
@@ -8,44 +8,44 @@
 from bisect import insort
 
 from notchflow.net.connection import Connection, Exchange, IdleLimit
-from notchflow.net.exchange import Dialler
-from notchflow.net.timers import Handle
+from notchflow.net.exchange import ConnectionHost
+from notchflow.net.timers import TimerId
 
 
 class Pool:
     """The connections to one address: the last to become idle is used first, so that the others age out."""
 
-    __slots__ = ("host", "address", "connect_ms", "limit", "idle", "dials", "adopting", "retired")
+    __slots__ = ("host", "address", "connect_timeout_ms", "limit", "idle", "dials", "adopting", "retired")
 
-    def __init__(self, host: Dialler, address: tuple[str, int], connect_ms: float, limit: IdleLimit) -> None:
+    def __init__(self, host: ConnectionHost, address: tuple[str, int], connect_ms: float, limit: IdleLimit) -> None:
         self.host = host
         self.address = address
-        self.connect_ms = connect_ms
+        self.connect_timeout_ms = connect_ms
         self.limit = limit
         self.idle: list[Connection] = []
-        self.dials: dict[Connection, tuple[asyncio.Task[None], Exchange, Handle]] = {}
+        self.dials: dict[Connection, tuple[asyncio.Task[None], Exchange, TimerId]] = {}
         self.adopting: dict[Connection, asyncio.Task[None]] = {}
         self.retired = False
 
     def send(self, exchange: Exchange, now: float) -> None:
         """Begins an exchange on an idle connection, or dials for it."""
         if self.retired:  # whoever decided on it did so by an older list
-            self.host.soon(exchange.unsent, None)
+            self.host.call_soon(exchange.unsent, None)
             return
         while self.idle:
             connection = self.idle[-1]
-            if now - connection.idle_since > self.limit.ms:
+            if now - connection.idle_since > self.limit.limit_ms:
                 break  # the youngest is too old; they are closed in the sweep
             self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 connection.start(exchange, now, now - connection.idle_since)
                 return
-        if not self.host.descriptor():
+        if not self.host.acquire_descriptor():
             exchange.no_descriptor()
             return
         connection = Connection(self)
         task = self.host.loop.create_task(self._dial(connection))
-        timer = self.host.at(now + self.connect_ms, self._overdue, connection)
+        timer = self.host.call_at(now + self.connect_timeout_ms, self._overdue, connection)
         self.dials[connection] = task, exchange, timer
 
     async def _dial(self, connection: Connection) -> None:
@@ -71,7 +71,7 @@
     def _uncount(self, connection: Connection) -> None:
         if connection.counted:
             connection.counted = False
-            self.host.freed()
+            self.host.release_descriptor()
 
     def adopt(self, sock: socket.socket, idle_ms: float) -> None:
         """Keeps a connection, counted already, that another process of this proxy had idle for so long."""
@@ -88,12 +88,12 @@
             sock.close()
             self._uncount(connection)
 
-    def pass_on(self, most: int) -> list[tuple[int, float]]:
+    def export_idle(self, most: int) -> list[tuple[int, float]]:
         """Gives up idle connections, the youngest first and so many at most, for another process to go on
         with: each one's descriptor, and for how long it has been idle, in milliseconds."""
         given: list[tuple[int, float]] = []
         now = self.host.clock.now()
-        while self.idle and len(given) < most and now - self.idle[-1].idle_since <= self.limit.ms:
+        while self.idle and len(given) < most and now - self.idle[-1].idle_since <= self.limit.limit_ms:
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 descriptor = os.dup(connection.transport.get_extra_info("socket").fileno())
@@ -136,7 +136,7 @@
 
     def release(self, connection: Connection) -> None:
         """An exchange is over: the connection rests, unless a dial elsewhere waits for its descriptor."""
-        if self.retired or self.host.starving():
+        if self.retired or self.host.has_waiting_dials():
             connection.close()
             return
         connection.idle_since = self.host.clock.now()  # its age decides whether and by when it is used again
@@ -150,16 +150,16 @@
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def sweep(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Closes connections that have been idle for too long."""
         keep = 0
-        while keep < len(self.idle) and (self.retired or self.idle[keep].idle_since + self.limit.ms <= now):
+        while keep < len(self.idle) and (self.retired or self.idle[keep].idle_since + self.limit.limit_ms <= now):
             keep += 1
         for connection in self.idle[:keep]:
             connection.close()
         del self.idle[:keep]
 
-    def undial(self) -> None:
+    def cancel_dials(self) -> None:
         """What waits for a connection goes elsewhere: it must not begin at a node that has begun to drain."""
         for connection, (task, _, _) in list(self.dials.items()):
             task.cancel()
@@ -168,7 +168,7 @@
     def retire(self) -> None:
         """Nothing new goes here; what is out may finish."""
         self.retired = True
-        self.sweep(0.0)
+        self.close_expired(0.0)
 
 
 def _idle_since(connection: Connection) -> float:
--- a/notchflow/net/stalls.py
+++ b/notchflow/net/stalls.py
@@ -6,13 +6,13 @@
 
 from typing import Final
 
-BEAT_MS: Final = 25.0
+STALL_CHECK_MS: Final = 25.0
 
 
 class StallDetector:
-    """Knows the last moment at which the process is known to have run, from a timer that fires every BEAT_MS.
+    """Knows the last moment at which the process is known to have run, from a timer that fires every STALL_CHECK_MS.
 
-    A stall shorter than BEAT_MS is not seen; each longer than twice that is.
+    A stall shorter than STALL_CHECK_MS is not seen; each longer than twice that is.
     """
 
     __slots__ = ("beat_at",)
@@ -20,11 +20,11 @@
     def __init__(self, now: float) -> None:
         self.beat_at = now
 
-    def beat(self, now: float) -> float:
+    def mark_running(self, now: float) -> float:
         """The timer has fired; when it is due next."""
         self.beat_at = now
-        return now + BEAT_MS
+        return now + STALL_CHECK_MS
 
-    def earliest(self, now: float) -> float:
+    def earliest_arrival(self, now: float) -> float:
         """When what is read now may have come at the earliest."""
-        return now if now - self.beat_at < 2 * BEAT_MS else self.beat_at
+        return now if now - self.beat_at < 2 * STALL_CHECK_MS else self.beat_at
--- a/notchflow/net/succession.py
+++ b/notchflow/net/succession.py
@@ -13,7 +13,7 @@
 from typing import Any, Final, Protocol
 
 from notchflow.net.clock import Clock
-from notchflow.net.timers import Handle
+from notchflow.net.timers import TimerId
 from notchflow.operations.handover import HandoverError, Reader, Shares, pack
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
     loop: asyncio.AbstractEventLoop
     clock: Clock
 
-    def at(self, due: float, call: Callable[..., None], argument: Any = None) -> Handle:
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
         """Calls back at a time, in milliseconds on the clock."""
 
     def usage(self) -> tuple[int, int]:
@@ -265,7 +265,7 @@
         if self.reporting:
             used, held = self.owner.usage()
             self._send({"used": used, "held": held, "takes_boxes": True})
-            self.owner.at(self.owner.clock.now() + REPORT_MS, self._report)
+            self.owner.call_at(self.owner.clock.now() + REPORT_MS, self._report)
 
     def tell(self, news: dict[str, Any], source: Link | None = None) -> None:
         """Passes on to the other processes what was told to this one."""
--- a/notchflow/net/timers.py
+++ b/notchflow/net/timers.py
@@ -9,10 +9,10 @@
 
 TICK_MS = 1.0
 
-Handle: TypeAlias = tuple[int, int]  # the tick and the number within all that were ever set
+TimerId: TypeAlias = tuple[int, int]  # the tick and the number within all that were ever set
 
 
-class Calendar:
+class TimerWheel:
     """Callbacks by the tick in which they come due: a hashed timing wheel (Varghese and Lauck, SOSP 1987,
     scheme 6) whose slots are a dictionary, so that it has no horizon, and whose hand is a heap of the ticks
     in use, so that an idle proxy is not woken for empty slots.
@@ -33,7 +33,7 @@
     def __len__(self) -> int:
         return sum(len(slot) for slot in self.slots.values())
 
-    def set(self, due: float, call: Callable[..., None], argument: Any = None) -> Handle:
+    def set(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
         """`call(argument)` is due at this time; the handle cancels it."""
         tick = math.ceil(due / TICK_MS)
         self.count = number = self.count + 1
@@ -45,7 +45,7 @@
             slot[number] = call, argument
         return tick, number
 
-    def cancel(self, handle: Handle) -> None:
+    def cancel(self, handle: TimerId) -> None:
         """Forgets a timer. One that has fired or was cancelled before is no error."""
         slot = self.slots.get(handle[0])
         if slot is not None:
--- a/notchflow/net/watch.py
+++ b/notchflow/net/watch.py
@@ -19,7 +19,7 @@
 from typing import Final, TypeAlias
 
 from notchflow.interface import ListKind, Rules, State
-from notchflow.net.listing import Listing
+from notchflow.net.node_list import NodeList
 from notchflow.policy.balancer import watch_backoff_ms
 
 # Where lists are asked for. A call that continues a watch asks for the longest wait that discovery allows, as
@@ -29,7 +29,7 @@
 WAIT_MS: Final = 60_000
 SOON_MS: Final = 1
 CONTINUES_MS: Final = 150.0  # after an answer; the watch is over 200 ms after it
-RENEW_MS: Final = (10_000.0, 30_000.0)  # when a watch is opened anew, from its beginning
+RENEWAL_RANGE_MS: Final = (10_000.0, 30_000.0)  # when a watch is opened anew, from its beginning
 QUEUE_MS: Final = 2_000.0  # discovery turns away by then what it does not take
 QUEUE_MARGIN_MS: Final = 500.0  # until a call that was to be answered at once is taken for silent
 ANSWER_MARGIN_MS: Final = 1_000.0  # after the longest wait, until a call is taken for silent
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class StartCall:
     """Make a call: the changes since a revision, or the whole list where that is none."""
 
     number: int
@@ -68,33 +68,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class CancelCall:
     """Wait for this call no longer, and close its connection."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class ApplyList:
     """This list holds from now on."""
 
-    listing: Listing
+    listing: NodeList
     kind: ListKind
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class ReportFailure:
     """A call failed. `watched`: another one is out, or is made at once: the module need not decide."""
 
     problem: str
     watched: bool
 
 
-Action: TypeAlias = Ask | Drop | Take | Failed
+WatchAction: TypeAlias = StartCall | CancelCall | ApplyList | ReportFailure
 
 
 @dataclass(slots=True)
-class Out:
+class PendingCall:
     """A call that is out."""
 
     number: int
@@ -108,18 +108,18 @@
         return self.wait_ms == SOON_MS
 
 
-class Watch:
+class ListWatch:
     """One proxy's watch. Each method is told the time, in milliseconds, and answers what to do; `wake` is to
     be called at `wake_at`."""
 
     def __init__(self, revision: int | None, asked: bool, seed: int, rules: Rules) -> None:
         self.revision = revision
-        self.asked = asked  # lists are asked for; else an agent pushes them
+        self.on_request = asked  # lists are asked for; else an agent pushes them
         self.rules = rules
         self.rng = random.Random(seed)
         self.wanted = False
-        self.out: list[Out] = []  # the older first
-        self.number = 0
+        self.pending_calls: list[PendingCall] = []  # the older first
+        self.last_call_number = 0
         self.next_at = self.renew_at = inf
         self.again_ms = AGAIN_MS
         self.heard_at: float | None = None  # when an answer was last taken
@@ -134,138 +134,138 @@
     @property
     def phase(self) -> Phase:
         """What the watch does now."""
-        if self.out:
-            return Phase.WATCHING if len(self.out) == 1 else Phase.RENEWING
+        if self.pending_calls:
+            return Phase.WATCHING if len(self.pending_calls) == 1 else Phase.RENEWING
         return Phase.RESTING if self.next_at < inf else Phase.IDLE
 
     @property
     def wake_at(self) -> float:
         """When it has to be woken, in milliseconds; infinity where nothing is due."""
-        if not self.out:
+        if not self.pending_calls:
             return self.next_at
-        return min(self.renew_at, *(self._overdue_at(out) for out in self.out))
+        return min(self.renew_at, *(self._overdue_at(out) for out in self.pending_calls))
 
     # -- what happens
-    def want(self, now: float, on: bool) -> list[Action]:
+    def set_wanted(self, now: float, on: bool) -> list[WatchAction]:
         """The list is to be followed from now on, or not after the answer that is out."""
         self.wanted = on
         return self._call(now) if on and self.phase is Phase.IDLE else []
 
-    def mode(self, now: float, asked: bool, rules: Rules) -> list[Action]:
+    def mode(self, now: float, asked: bool, rules: Rules) -> list[WatchAction]:
         """The settings are others: how lists come, and when they count as told."""
         self.rules = rules
-        if asked == self.asked:
+        if asked == self.on_request:
             return []
-        self.asked = asked
-        if self.out:
-            self.renew_at = self._renewal(now, self.out[-1])
-        return [] if asked else self.want(now, True)
+        self.on_request = asked
+        if self.pending_calls:
+            self.renew_at = self._renewal_at(now, self.pending_calls[-1])
+        return [] if asked else self.set_wanted(now, True)
 
-    def move(self, now: float) -> list[Action]:
+    def restart(self, now: float) -> list[WatchAction]:
         """Discovery is elsewhere: the old one tells nothing any more, and must not be waited for."""
-        actions: list[Action] = [Drop(out.number) for out in self.out]
-        self.out.clear()
+        actions: list[WatchAction] = [CancelCall(out.number) for out in self.pending_calls]
+        self.pending_calls.clear()
         self.next_at = inf
-        return actions + self.want(now, True)
+        return actions + self.set_wanted(now, True)
 
-    def answered(self, now: float, number: int, listing: Listing, empty: bool) -> list[Action]:
+    def answered(self, now: float, number: int, listing: NodeList, empty: bool) -> list[WatchAction]:
         """A call brought a list. `empty`: nothing would be left of the list that is known."""
         out = self._ended(number)
-        problem = "a whole list without members" if empty else self._out_of_order(now, out, listing)
+        problem = "a whole list without members" if empty else self._rejection_reason(now, out, listing)
         if problem:
-            return self._withdrawn(listing) + self._failed(now, problem)
+            return self._withdrawn(listing) + self._after_failure(now, problem)
         self.revision, self.heard_at = listing.revision, now
         self.whole = self.whole and not listing.complete
         self.again_ms = AGAIN_MS
-        actions: list[Action] = [Take(listing, ListKind.FULL if listing.complete else ListKind.DELTA)]
-        actions.extend(Drop(other.number) for other in self.out)
-        self.out.clear()
+        actions: list[WatchAction] = [ApplyList(listing, ListKind.FULL if listing.complete else ListKind.DELTA)]
+        actions.extend(CancelCall(other.number) for other in self.pending_calls)
+        self.pending_calls.clear()
         if not self.wanted:
             return actions
         self.next_at = max(now, out.begun_at + self.pause_ms)
         return actions + self.wake(now)
 
-    def failed(self, now: float, number: int, problem: str) -> list[Action]:
+    def failed(self, now: float, number: int, problem: str) -> list[WatchAction]:
         """A call ended without a list."""
         self._ended(number)
-        return self._failed(now, problem)
+        return self._after_failure(now, problem)
 
-    def wake(self, now: float) -> list[Action]:
+    def wake(self, now: float) -> list[WatchAction]:
         """Whatever is due by now."""
-        if not self.out:
+        if not self.pending_calls:
             return self._call(now) if self.next_at <= now else []
-        actions: list[Action] = []
-        for out in [o for o in self.out if self._overdue_at(o) <= now]:
+        actions: list[WatchAction] = []
+        for out in [o for o in self.pending_calls if self._overdue_at(o) <= now]:
             self._ended(out.number)
-            actions += [Drop(out.number), Failed("no answer", True)]
-            if not self.out:  # what discovery does not take it turns away: here a connection broke unseen
+            actions += [CancelCall(out.number), ReportFailure("no answer", True)]
+            if not self.pending_calls:  # what discovery does not take it turns away: here a connection broke unseen
                 actions.extend(self._call(now))
-            elif not self.out[0].soon:
+            elif not self.pending_calls[0].soon:
                 self.renew_at = now
-        if self.out and self.renew_at <= now:
+        if self.pending_calls and self.renew_at <= now:
             actions.extend(self._renew(now))
         return actions
 
     # -- what follows
-    def _call(self, now: float) -> list[Action]:
+    def _call(self, now: float) -> list[WatchAction]:
         self.next_at = inf
         if not self.wanted:
             return []
-        self.number += 1
+        self.last_call_number += 1
         whole = self.whole or self.revision is None
-        out = Out(self.number, now, self._wait_ms(now), whole)
-        self.out.append(out)
-        self.renew_at = self._renewal(now, out)
-        return [Ask(out.number, None if whole else self.revision, out.wait_ms)]
+        out = PendingCall(self.last_call_number, now, self._wait_ms(now), whole)
+        self.pending_calls.append(out)
+        self.renew_at = self._renewal_at(now, out)
+        return [StartCall(out.number, None if whole else self.revision, out.wait_ms)]
 
     def _wait_ms(self, now: float) -> int:
         if self.heard_at is None:
             return SOON_MS  # of a new process, to which what an agent has counts from the first moment
-        if not self.asked:
+        if not self.on_request:
             return PUSH_WAIT_MS
         return WAIT_MS if not self.whole and now <= self.heard_at + CONTINUES_MS else SOON_MS
 
-    def _renewal(self, now: float, out: Out) -> float:
+    def _renewal_at(self, now: float, out: PendingCall) -> float:
         """When the call is to be followed by one more, if it has told nothing by then."""
-        if self.asked:
-            return inf if out.soon else max(now, out.begun_at + self.rng.uniform(*RENEW_MS))
+        if self.on_request:
+            return inf if out.soon else max(now, out.begun_at + self.rng.uniform(*RENEWAL_RANGE_MS))
         return max(now, out.begun_at + out.wait_ms + PUSH_MARGIN_MS)
 
-    def _renew(self, now: float) -> list[Action]:
-        if len(self.out) == 1:
+    def _renew(self, now: float) -> list[WatchAction]:
+        if len(self.pending_calls) == 1:
             return self._call(now)
-        silent = self.out.pop()  # as silent as the first, which an agent that is back may still answer
-        return [Drop(silent.number), *self._call(now)]
+        silent = self.pending_calls.pop()  # as silent as the first, which an agent that is back may still answer
+        return [CancelCall(silent.number), *self._call(now)]
 
-    def _overdue_at(self, out: Out) -> float:
+    def _overdue_at(self, out: PendingCall) -> float:
         """When a call counts as failed. An agent that hears nothing is silent, and may answer later."""
-        if not self.asked:
+        if not self.on_request:
             return inf
         return out.begun_at + out.wait_ms + (QUEUE_MS + QUEUE_MARGIN_MS if out.soon else ANSWER_MARGIN_MS)
 
-    def _ended(self, number: int) -> Out:
-        for out in self.out:
+    def _ended(self, number: int) -> PendingCall:
+        for out in self.pending_calls:
             if out.number == number:
-                self.out.remove(out)
+                self.pending_calls.remove(out)
                 return out
         raise WatchError(f"call {number} is not out")
 
-    def _failed(self, now: float, problem: str) -> list[Action]:
+    def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
         again, self.again_ms = self.again_ms, min(2 * self.again_ms, self.pause_ms)
-        if self.out:
-            if not self.asked:
+        if self.pending_calls:
+            if not self.on_request:
                 self.renew_at = now + again
-            elif not self.out[0].soon:
+            elif not self.pending_calls[0].soon:
                 self.renew_at = now + watch_backoff_ms(self.rng, self.rules)
-            return [Failed(problem, True)]
-        if self.asked:  # the module says when
+            return [ReportFailure(problem, True)]
+        if self.on_request:  # the module says when
             self.wanted = False
         elif self.wanted:
             self.next_at = now + again
-        return [Failed(problem, False)]
+        return [ReportFailure(problem, False)]
 
     # -- which lists are accepted
-    def _out_of_order(self, now: float, out: Out, listing: Listing) -> str:
+    def _rejection_reason(self, now: float, out: PendingCall, listing: NodeList) -> str:
         """Why a list must not be applied: an older one would bring back nodes that drain or are gone."""
         if out.whole and not listing.complete:
             return "changes where the whole list was asked for"
@@ -280,12 +280,12 @@
             return ""  # revisions began anew
         return f"revision {listing.revision} is older than {self.revision}"
 
-    def _withdrawn(self, listing: Listing) -> list[Action]:
+    def _withdrawn(self, listing: NodeList) -> list[WatchAction]:
         """What a list that is not accepted takes away: it was told, whatever else is wrong with it. The whole
         list, which is asked for next, brings back what was taken away wrongly."""
         away = tuple(m for m in listing.members if m.state is not State.READY)
         if not away:
             return []
         self.whole = True
-        changes = Listing(listing.revision, False, away, listing.addresses, listing.names)
-        return [Take(changes, ListKind.DELTA)]
+        changes = NodeList(listing.revision, False, away, listing.addresses, listing.names)
+        return [ApplyList(changes, ListKind.DELTA)]
--- a/notchflow/tenancy/door.py
+++ b/notchflow/tenancy/door.py
@@ -15,7 +15,7 @@
 from typing import Final, Protocol
 
 from notchflow.interface import Effect
-from notchflow.net.exchange import Call, Reply
+from notchflow.net.exchange import ClientRequest, LocalReply
 from notchflow.tenancy.directory import Denied, Directory, Entry
 from notchflow.tenancy.limits import Refusal
 from notchflow.tenancy.model import TenantState
@@ -68,9 +68,9 @@
 class Receiver(Protocol):
     """The host, as far as the door needs it."""
 
-    def request(
+    def start_request(
         self,
-        call: Call,
+        call: ClientRequest,
         cls: str,
         budget_ms: float | None,
         key: str | None = None,
@@ -86,7 +86,7 @@
 class Guarded(Protocol):
     """A request whose effects are remembered, as far as its ticket needs it."""
 
-    def begin(self, call: Call, cls: str) -> Reply | None:
+    def begin(self, call: ClientRequest, cls: str) -> LocalReply | None:
         """Hands the request on, now or later, or says why not."""
 
     def ended(self, status: int, ran: bool) -> None: ...
@@ -96,7 +96,7 @@
     """The memory of effects, as far as the door needs it."""
 
     def guard(
-        self, call: Call, cls: str, key: bytes, busy: Reply, go: Callable[[float | None], None]
+        self, call: ClientRequest, cls: str, key: bytes, busy: LocalReply, go: Callable[[float | None], None]
     ) -> Guarded | None:
         """For a request with an idempotency key; none where the class needs none. `go` hands it on."""
 
@@ -141,7 +141,7 @@
 
 
 class TenantDoor:
-    """The door of the hosted service (see `notchflow.net.exchange.Door`)."""
+    """The door of the hosted service (see `notchflow.net.exchange.Gateway`)."""
 
     def __init__(
         self,
@@ -154,9 +154,9 @@
         self.directory, self.face, self.pressure, self.wall = directory, face, pressure, wall
         self.host: Receiver | None = None
         self.memory: Remembers | None = None
-        self.outside: Reply | None = None  # what all are told while this instance may take nothing
-        self.doubts: Callable[[], Reply | None] | None = None  # whether the rules here may be acted on
-        self.ready: Callable[[], Reply] | None = None  # a readiness check's answer, in place of the host's
+        self.outside: LocalReply | None = None  # what all are told while this instance may take nothing
+        self.doubts: Callable[[], LocalReply | None] | None = None  # whether the rules here may be acted on
+        self.ready: Callable[[], LocalReply] | None = None  # a readiness check's answer, in place of the host's
         self.run, self.number = run, 0  # ids: 8 digits of this run of the process, 8 of the request
         self.suspended = reply(403, "tenant-suspended", "The operator has suspended this tenant.")
         self.retiring = reply(403, "tenant-retiring", "What is in hand is answered; nothing new is taken.")
@@ -172,30 +172,30 @@
         self.busy = reply(503, "refused", "Nothing was done: trying again is harmless.", MODULE_RETRY_S)
 
     # -- the head has come
-    def head(self, call: Call) -> None:
+    def head(self, call: ClientRequest) -> None:
         if call.url == READY:
-            call.reply = self.ready() if self.ready is not None else None
+            call.local_reply = self.ready() if self.ready is not None else None
             return
-        call.reply = self._closed()
-        if call.reply is not None:
+        call.local_reply = self._closed()
+        if call.local_reply is not None:
             return
         found = self._judge(call)
-        if isinstance(found, Reply):
-            call.reply = found
+        if isinstance(found, LocalReply):
+            call.local_reply = found
         else:
             call.ticket = found
 
-    def _closed(self) -> Reply | None:
+    def _closed(self) -> LocalReply | None:
         """What all are told while nothing may be taken here."""
         if self.outside is not None:
             return self.outside
         return self.doubts() if self.doubts is not None else None
 
-    def _judge(self, call: Call) -> Ticket | Reply:
-        host = call.fields.get(b"host")
+    def _judge(self, call: ClientRequest) -> Ticket | LocalReply:
+        host = call.headers.get(b"host")
         if host is None or HOST.fullmatch(host) is None:
             return self.hostless
-        entry = self.directory.authenticate(_token(call.passed), self.wall())
+        entry = self.directory.authenticate(_token(call.forwarded_headers), self.wall())
         if isinstance(entry, Denied):
             return self.denied[entry]
         try:
@@ -219,13 +219,13 @@
             )
         return self._allowed(call, entry, match, target)
 
-    def _allowed(self, call: Call, entry: Entry, match: Match, target: Target) -> Ticket | Reply:
+    def _allowed(self, call: ClientRequest, entry: Entry, match: Match, target: Target) -> Ticket | LocalReply:
         if entry.tenant.state is not TenantState.ACTIVE:
             return self.suspended if entry.tenant.state is TenantState.SUSPENDED else self.retiring
-        length = call.fields.get(b"content-length")
+        length = call.headers.get(b"content-length")
         if length is not None and int(length) > self.face.body_max:
             return self._too_large()
-        key = call.fields.get(b"idempotency-key")
+        key = call.headers.get(b"idempotency-key")
         if key is not None and IDEMPOTENCY.fullmatch(key) is None:
             return reply(400, "bad-request", "Idempotency-Key has 1 to 200 visible ASCII characters.")
         keyed = self.face.effects is not None and self.face.effects.get(match.route.cls) is Effect.KEYED
@@ -233,11 +233,11 @@
             return reply(400, "idempotency-key-required", f"Class {match.route.cls} is known by its key.")
         return Ticket(self, entry, match, target)
 
-    def _too_large(self) -> Reply:
+    def _too_large(self) -> LocalReply:
         return reply(413, "too-large", f"A body has at most {self.face.body_max} bytes.")
 
     # -- the request is whole
-    def begin(self, call: Call) -> Reply | None:
+    def begin(self, call: ClientRequest) -> LocalReply | None:
         ticket, host = call.ticket, self.host
         if not isinstance(ticket, Ticket) or host is None:
             return self.nothing
@@ -247,17 +247,17 @@
         entry = ticket.entry
         if entry.tenant.state is not TenantState.ACTIVE:  # it may have changed while the body came
             return self.suspended if entry.tenant.state is TenantState.SUSPENDED else self.retiring
-        if call.size > self.face.body_max:
+        if call.body_size > self.face.body_max:
             return self._too_large()
-        if call.spilled and not ticket.over:
+        if call.body_not_held and not ticket.over:
             return self.busy  # the proxy's own memory is short
-        if call.spilled:
+        if call.body_not_held:
             return _refusal(self.directory.too_many_bytes(entry))
         refusal = self.directory.admit(entry, time.monotonic(), self.pressure())
         if refusal is not None:
             return _refusal(refusal)
         ticket.since = time.monotonic()
-        key, cls = call.fields.get(b"idempotency-key"), ticket.match.route.cls
+        key, cls = call.headers.get(b"idempotency-key"), ticket.match.route.cls
         if self.memory is not None and key is not None:
             go = partial(self._hand_on, call, ticket)
             ticket.guard = self.memory.guard(call, cls, b"%b/%b" % (entry.caller, key), self.busy, go)
@@ -266,12 +266,12 @@
         self._hand_on(call, ticket, None)
         return None
 
-    def _hand_on(self, call: Call, ticket: Ticket, earlier: float | None) -> None:
+    def _hand_on(self, call: ClientRequest, ticket: Ticket, earlier: float | None) -> None:
         """`earlier`: so many milliseconds ago a request under the same key may first have run."""
         assert self.host is not None
         entry = ticket.entry
         self._rewrite(call, ticket)
-        self.host.request(
+        self.host.start_request(
             call,
             ticket.match.route.cls,
             None,
@@ -281,12 +281,12 @@
             earlier=earlier,
         )
 
-    def _rewrite(self, call: Call, ticket: Ticket) -> None:
+    def _rewrite(self, call: ClientRequest, ticket: Ticket) -> None:
         self.number += 1
         entry, target = ticket.entry, ticket.target
         query = b"" if target.query is None else b"?" + target.query
         call.url = b"%b/%b%b%b" % (self.face.prefix.encode(), entry.caller, target.path.encode(), query)
-        passed = [line for line in call.passed if line[: line.index(b":")].lower() not in OURS]
+        passed = [line for line in call.forwarded_headers if line[: line.index(b":")].lower() not in OURS]
         passed.append(
             b"Host: %b\r\nX-Call-Id: %b%08x\r\nX-Call-Class: %b\r\nX-Caller: %b\r\n"
             % (
@@ -297,20 +297,20 @@
                 entry.caller,
             )
         )
-        key = call.fields.get(b"idempotency-key")
+        key = call.headers.get(b"idempotency-key")
         if key is not None:
             passed.append(b"Idempotency-Key: %b/%b\r\n" % (entry.caller, key))
-        if call.size or call.method in WRITES_BODY:
-            passed.append(b"Content-Length: %d\r\n" % call.size)
-        call.passed = passed
+        if call.body_size or call.method in WRITES_BODY:
+            passed.append(b"Content-Length: %d\r\n" % call.body_size)
+        call.forwarded_headers = passed
 
     # -- the module's answers
-    def refused(self, retry_after_ms: float) -> Reply:
+    def refused(self, retry_after_ms: float) -> LocalReply:
         if retry_after_ms <= 0:
             return self.busy
         return reply(503, "refused", "Nothing was done: trying again is harmless.", retry_after_ms / 1e3)
 
-    def failed(self, status: int) -> Reply:
+    def failed(self, status: int) -> LocalReply:
         return reply(status, FAILURES.get(status, "failed"))
 
 
@@ -330,7 +330,7 @@
     return found.pop().decode("latin-1") if len(found) == 1 else ""
 
 
-def _refusal(refusal: Refusal) -> Reply:
+def _refusal(refusal: Refusal) -> LocalReply:
     return reply(
         429,
         "limit",
--- a/notchflow/tenancy/problems.py
+++ b/notchflow/tenancy/problems.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any, Final
 
-from notchflow.net.exchange import Reply
+from notchflow.net.exchange import LocalReply
 
 TYPE: Final = "urn:notchflow:problem:"
 
@@ -52,8 +52,8 @@
     retry_after_s: float | None = None,
     fields: tuple[bytes, ...] = (),
     **more: Any,
-) -> Reply:
+) -> LocalReply:
     headers = [b"Content-Type: application/problem+json\r\n", b"Cache-Control: no-store\r\n", *fields]
     if retry_after_s is not None:
         headers.append(b"Retry-After: %d\r\n" % whole_seconds(retry_after_s))
-    return Reply(status, tuple(headers), json.dumps(document(status, kind, detail, **more)).encode())
+    return LocalReply(status, tuple(headers), json.dumps(document(status, kind, detail, **more)).encode())
--- a/tests/crossings/forced.py
+++ b/tests/crossings/forced.py
@@ -37,14 +37,14 @@
 async def all_over(rig: Rig) -> None:
     """Nothing is in flight, held or counted, and no dial is under way."""
     host = rig.host
-    await until(lambda: not host.open and not any(pool.dials for pool in host.pools.values()))
+    await until(lambda: not host.active_requests and not any(pool.dials for pool in host.pools.values()))
     for client in rig.clients:  # not before: that they go would end what is still under way
         client.writer.transport.abort()
     await until(lambda: not host.front.clients)
     idle = sum(len(pool.idle) for pool in host.pools.values())
-    await until(lambda: host.used == sum(len(pool.idle) for pool in host.pools.values()))
+    await until(lambda: host.descriptors_used == sum(len(pool.idle) for pool in host.pools.values()))
     await until(lambda: sum(len(node.open) for node in rig.nodes) >= idle)  # all accepted: can be ended
-    assert (host.held, host.used) == (0, idle)
+    assert (host.buffered_bytes, host.descriptors_used) == (0, idle)
     assert not host.balancer.pending and not host.balancer.fleet.in_flight
     assert not any(node.in_flight or node.outstanding for node in host.balancer.fleet.nodes.values())
 
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -52,7 +52,7 @@
             client = await rig.connect()
             client.send("PUT", body=b"x", X_Call_Class=cls, X_Budget="0.5")
             await until(lambda: node.writers)
-            (item,) = rig.host.open.values()
+            (item,) = rig.host.active_requests.values()
             node.writers[0].write(answer())
             rig.host._deadline(item.id)  # before the proxy reads it
             seen = await client.receive()
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -188,7 +188,7 @@
             client, other = await rig.connect(), await rig.connect()
             client.send(path="/api/00aa?held")
             await until(lambda: rig.sent)
-            number = next(iter(rig.host.open))
+            number = next(iter(rig.host.active_requests))
             end(client)
             await seen_to_go(rig, client)
             copies = rig.host.balancer.hedges
@@ -216,7 +216,7 @@
                 client.send()
             await until(lambda: any(c.held_off for c in rig.host.front.clients) and rig.sent)
             end(client)
-            await until(lambda: all(c.gone(rig.host.clock.now()) for c in rig.host.front.clients))
+            await until(lambda: all(c.has_left(rig.host.clock.now()) for c in rig.host.front.clients))
             gate.open.set()
             await all_over(rig)
             assert rig.sent == 1
--- a/tests/crossings/test_close.py
+++ b/tests/crossings/test_close.py
@@ -46,7 +46,7 @@
     """A connection that has had one answer."""
     raw = Raw(rig)
     raw.send(ASK)
-    await until(lambda: rig.host.front.idle and rig.sent and not rig.host.open)
+    await until(lambda: rig.host.front.idle and rig.sent and not rig.host.active_requests)
     assert (await raw.read()).startswith(b"HTTP/1.1 200")
     return raw
 
@@ -170,7 +170,7 @@
             raw.send(ASK)
             assert b"Connection: close" in await raw.read()
             raw.send(put)
-            await until(lambda: rig.host.held)
+            await until(lambda: rig.host.buffered_bytes)
             gate.set()
             assert (await raw.read(until_end=True)).endswith(half)
             raw.sock.close()
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from notchflow.net import desk
+from notchflow.net import dispatcher
 from notchflow.net.front import STILL_MS
 from tests.crossings.forced import all_over
 from tests.crossings.test_client_gone import Gate
@@ -25,7 +25,7 @@
             writer.transport.abort()
             rig.discovery.stop()
             crowd = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * SOCKETS)]
-            await until(lambda: not front.accepting and len(front.clients) >= 0.7 * rig.host.descriptors)
+            await until(lambda: not front.accepting and len(front.clients) >= 0.7 * rig.host.descriptor_limit)
             await rig.discovery.start(port)
             _, writer = await rig.calls.get()
             while writer.transport.is_closing():
@@ -35,7 +35,7 @@
             answers = await asyncio.gather(*(rig.ask(path=f"/api/{n:016x}") for n in range(8)))
             assert [a.status for a in answers] == [200] * 8
             assert [len(n.seen) for n in rig.nodes] == [0, 8]
-            assert rig.host.used <= rig.host.descriptors
+            assert rig.host.descriptors_used <= rig.host.descriptor_limit
             for sock in crowd:
                 sock.close()
             await all_over(rig)
@@ -53,7 +53,7 @@
         known.active_at -= STILL_MS
     clients[0].send(path="/api/00aa?held")
     await until(lambda: rig.sent == 4)
-    rig.host.descriptors = rig.host.used
+    rig.host.descriptor_limit = rig.host.descriptors_used
     return clients
 
 
@@ -66,18 +66,18 @@
 
 def test_a_dial_waits_for_a_descriptor_and_takes_none_of_a_client_s(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against requests lost as their idle connection was closed for a dial."""
-    monkeypatch.setattr(desk, "DESCRIPTOR_WAIT_MS", 60_000.0)
+    monkeypatch.setattr(dispatcher, "DESCRIPTOR_WAIT_MS", 60_000.0)
 
     async def test() -> None:
         gate = Gate(serve_value)
         async with held_by(gate) as rig:
             clients = await short_of_descriptors(rig)
             clients[1].send(path="/api/00aa")
-            await until(rig.host.starving)
+            await until(rig.host.has_waiting_dials)
             gate.open.set()
             answers = [await client.receive() for client in clients[:2]]
             assert [seen and seen.status for seen in answers] == [200, 200]
-            assert len(rig.host.front.clients) == 3 and rig.host.used <= rig.host.descriptors
+            assert len(rig.host.front.clients) == 3 and rig.host.descriptors_used <= rig.host.descriptor_limit
             await all_over(rig)
 
     run(test())
@@ -85,16 +85,16 @@
 
 def test_a_dial_that_is_given_up_waits_for_no_descriptor_any_more(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against connections closed for the sake of a request that is over."""
-    monkeypatch.setattr(desk, "DESCRIPTOR_WAIT_MS", 60_000.0)
+    monkeypatch.setattr(dispatcher, "DESCRIPTOR_WAIT_MS", 60_000.0)
 
     async def test() -> None:
         gate = Gate(serve_value)
         async with held_by(gate) as rig:
             clients = await short_of_descriptors(rig)
             clients[1].send(path="/api/00aa", X_Budget="0.05")
-            await until(rig.host.starving)
+            await until(rig.host.has_waiting_dials)
             assert await clients[1].receive() is not None
-            assert not rig.host.starving()
+            assert not rig.host.has_waiting_dials()
             gate.open.set()
             await all_over(rig)
 
@@ -103,7 +103,7 @@
 
 def test_an_idle_client_gives_way_where_no_descriptor_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against dials that wait for good beside clients that ask for nothing."""
-    monkeypatch.setattr(desk, "DESCRIPTOR_WAIT_MS", 0.0)
+    monkeypatch.setattr(dispatcher, "DESCRIPTOR_WAIT_MS", 0.0)
 
     async def test() -> None:
         gate = Gate(serve_value)
@@ -128,7 +128,7 @@
             assert (await client.ask()).status == 200
             for known in rig.host.front.clients:
                 known.active_at -= STILL_MS
-            rig.host.descriptors = rig.host.used
+            rig.host.descriptor_limit = rig.host.descriptors_used
             assert (await rig.ask(path="/health/ready")).status == 200
             assert (await client.ask()).status == 200, "it is still there"
             await all_over(rig)
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -20,7 +20,7 @@
 )
 from notchflow.net.config import Config
 from notchflow.net.host import Host
-from notchflow.net.listing import decode_listing
+from notchflow.net.node_list import decode_node_list
 from tests.crossings.forced import all_over
 from tests.crossings.test_client_gone import Gate
 from tests.rig import Rig, run, serve_value, until
@@ -48,13 +48,13 @@
 
 def derived(host: Host) -> dict[str, Any]:
     """All that a process works out of its settings, but for what it has learned."""
-    module, watch = host.balancer, host.discovery.watching
+    module, watch = host.balancer, host.discovery.list_watch
     return {
         "classes": host.classes,
-        "longest": host.longest_ms,
+        "longest": host.longest_deadline_ms,
         "attempts": host.max_attempts,
-        "idle": host.idle_limit.stated_ms,
-        "dial": {p.connect_ms for p in host.pools.values()},
+        "idle": host.idle_limit.configured_ms,
+        "dial": {p.connect_timeout_ms for p in host.pools.values()},
         "settings": (host.settings, module.settings, module.fleet.settings),
         "of": module.classes,
         "most": module.max_attempts,
@@ -64,7 +64,7 @@
         "many": module.fleet.many_instances,
         "kinds": type(module.fleet.kinds),
         "rules": watch.rules,
-        "asked": watch.asked,
+        "asked": watch.on_request,
         "pause": watch.pause_ms,
         "cold": {n.cold_until for n in module.fleet.nodes.values()},
     }
@@ -75,7 +75,7 @@
     entries = [
         {"id": f"s-{n}", "host_port": "127.0.0.1:9", "phase": "up", "up_since_ms": 1e12 * n} for n in (0, 1)
     ]
-    known = decode_listing({"revision": 1, "complete": True, "members": entries})
+    known = decode_node_list({"revision": 1, "complete": True, "members": entries})
     config = Config(
         "n0",
         ("127.0.0.1", 0),
@@ -128,7 +128,7 @@
             text = rig.host.report()
             assert 'class="find"' in text or 'priority="find"' in text
             for _ in range(3):  # no timer of before asks for what is no more
-                rig.host.tell(Timer("second"))
+                rig.host.dispatch(Timer("second"))
             assert not any(isinstance(a, SetTimer) for a in rig.host.balancer.actions)
             await all_over(rig)
 
--- a/tests/door/test_fuzz.py
+++ b/tests/door/test_fuzz.py
@@ -215,7 +215,7 @@
                     assert read in allowed, (read, allowed, data)
                 total, rounds = total + len(seen), rounds + bool(seen)
                 seen.clear()
-            assert not rig.host.open
+            assert not rig.host.active_requests
     finally:
         server.close()
     return total, rounds
--- a/tests/effects/test_keeper.py
+++ b/tests/effects/test_keeper.py
@@ -13,7 +13,7 @@
 from notchflow.effects.memory import Rule
 from notchflow.effects.record import Effect, Fate
 from notchflow.interface import Effect as Kind
-from notchflow.net.exchange import Asker, Call, Reply
+from notchflow.net.exchange import Downstream, ClientRequest, LocalReply
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Engine
 from standins.faulty_files import FaultyFiles
@@ -21,19 +21,19 @@
 from tests.store.test_commit import Slow
 from tests.store.world import SMALL
 
-BUSY = Reply(503)
+BUSY = LocalReply(503)
 RULES = {"pay": Rule(Kind.UNSAFE, 60_000), "slot": Rule(Kind.KEYED, 60_000, 750.0)}
 
 
 class Client:
     """Takes answers that come later."""
 
-    held = 0
+    buffered_bytes = 0
 
     def __init__(self) -> None:
-        self.told: list[Reply] = []
+        self.told: list[LocalReply] = []
 
-    def answer(self, call: Call, reply: Reply) -> None:
+    def answer(self, call: ClientRequest, reply: LocalReply) -> None:
         self.told.append(reply)
 
 
@@ -53,7 +53,7 @@
         self.keeper.rules = RULES
         self.sent: list[bytes] = []
 
-    def at(self, due: float, call: Callable[..., None], argument: Any = None) -> Any:
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> Any:
         number = len(self.timers)
         self.timers[number] = call, argument
         return number
@@ -67,9 +67,9 @@
         for call, argument in timers.values():
             call(argument)
 
-    def ask(self, key: bytes, cls: str = "pay", body: bytes = b"") -> tuple[Guard, Client, Reply | None]:
+    def ask(self, key: bytes, cls: str = "pay", body: bytes = b"") -> tuple[Guard, Client, LocalReply | None]:
         client = Client()
-        call = Call(cast(Asker, client), client)
+        call = ClientRequest(cast(Downstream, client), client)
         call.method, call.url, call.body = b"POST", b"/pay", [body]
         guard = self.keeper.guard(call, cls, key, BUSY, lambda earlier: self.sent.append(key))
         assert guard is not None
--- a/tests/emulator/test_sends.py
+++ b/tests/emulator/test_sends.py
@@ -18,7 +18,7 @@
 from notchflow.emulator.watches import Day
 from notchflow.emulator.wires import Loop, Pipe
 from notchflow.interface import Event, ListKind, Membership, State
-from notchflow.net.listing import Listing
+from notchflow.net.node_list import NodeList
 from notchflow.net.pool import Pool
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
@@ -68,13 +68,13 @@
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        self.discovery.watching = FixedWaits(
+        self.discovery.list_watch = FixedWaits(
             self.config.known.revision, self.settings.list_on_request, self.config.seed, self.settings.rules
         )
 
 
 class DrainIsUp(WatchedHost):
-    def apply(self, listing: Listing, kind: ListKind) -> None:
+    def apply(self, listing: NodeList, kind: ListKind) -> None:
         members = tuple(
             replace(m, state=State.READY) if m.state is State.DRAINING else m for m in listing.members
         )
@@ -84,13 +84,13 @@
 class NodesStay(WatchedHost):
     """The pools know of changes, the module does not."""
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         if not isinstance(event, Membership) or event.kind is not ListKind.DELTA:
-            super().tell(event)
+            super().dispatch(event)
 
 
 class AddressStays(WatchedHost):
-    def apply(self, listing: Listing, kind: ListKind) -> None:
+    def apply(self, listing: NodeList, kind: ListKind) -> None:
         addresses = dict(listing.addresses or {})
         for node, pool in self.pools.items():
             if node in addresses:
@@ -124,7 +124,7 @@
     ),
     "dials go on, and what has come up begins": (
         WatchedHost,
-        {"undial": nothing, "opened": UNCHECKED["opened"]},
+        {"cancel_dials": nothing, "opened": UNCHECKED["opened"]},
         {"grace_ms": 100.0, "silences": ()},
     ),
     "kept connections stay, module and pool know nothing": (
--- a/tests/emulator/test_watches.py
+++ b/tests/emulator/test_watches.py
@@ -9,8 +9,8 @@
 from notchflow.emulator.fixed_waits import FixedWaits
 from notchflow.emulator.watch_explorer import draw, explore, play
 from notchflow.emulator.watches import Day, World
-from notchflow.net.listing import Listing
-from notchflow.net.watch import Action, Failed, Out, Take, Watch
+from notchflow.net.node_list import NodeList
+from notchflow.net.watch import WatchAction, ReportFailure, PendingCall, ApplyList, ListWatch
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 
@@ -56,82 +56,82 @@
         assert broken == [], day
 
 
-class NeverAnew(Watch):
-    def _renewal(self, now: float, out: Out) -> float:
+class NeverAnew(ListWatch):
+    def _renewal_at(self, now: float, out: PendingCall) -> float:
         return float("inf")
 
 
-class AllAtOneMoment(Watch):
+class AllAtOneMoment(ListWatch):
     """Anew, but at the same age everywhere and late."""
 
-    def _renewal(self, now: float, out: Out) -> float:
-        return out.begun_at + 59_500.0 if self.asked else super()._renewal(now, out)
+    def _renewal_at(self, now: float, out: PendingCall) -> float:
+        return out.begun_at + 59_500.0 if self.on_request else super()._renewal_at(now, out)
 
 
-class IgnoresTheNewOne(Watch):
+class IgnoresTheNewOne(ListWatch):
     """Takes nothing from a second call."""
 
-    def answered(self, now: float, number: int, listing: Listing, empty: bool) -> list[Action]:
-        if len(self.out) == 2 and number == self.out[1].number:
+    def answered(self, now: float, number: int, listing: NodeList, empty: bool) -> list[WatchAction]:
+        if len(self.pending_calls) == 2 and number == self.pending_calls[1].number:
             return self.failed(now, number, "ignored")
         return super().answered(now, number, listing, empty)
 
 
-class NoSecondTry(Watch):
+class NoSecondTry(ListWatch):
     """A renewal that fails is the last."""
 
-    def _failed(self, now: float, problem: str) -> list[Action]:
-        actions = super()._failed(now, problem)
-        if self.out:
+    def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
+        actions = super()._after_failure(now, problem)
+        if self.pending_calls:
             self.renew_at = float("inf")
         return actions
 
 
-class TakesOlder(Watch):
-    def _out_of_order(self, now: float, out: Out, listing: Listing) -> str:
+class TakesOlder(ListWatch):
+    def _rejection_reason(self, now: float, out: PendingCall, listing: NodeList) -> str:
         return ""
 
 
-class SlowAfterFailure(Watch):
+class SlowAfterFailure(ListWatch):
     """An agent that failed is left alone for half a second."""
 
-    def _failed(self, now: float, problem: str) -> list[Action]:
-        actions = super()._failed(now, problem)
-        if not self.asked and not self.out:
+    def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
+        actions = super()._after_failure(now, problem)
+        if not self.on_request and not self.pending_calls:
             self.next_at = now + 500.0
         return actions
 
 
-class AsksLateAtTheStart(Watch):
-    def want(self, now: float, on: bool) -> list[Action]:
-        if not self.asked and self.number == 0:
+class AsksLateAtTheStart(ListWatch):
+    def set_wanted(self, now: float, on: bool) -> list[WatchAction]:
+        if not self.on_request and self.last_call_number == 0:
             self.wanted, self.next_at = on, now + 1_000.0
             return []
-        return super().want(now, on)
+        return super().set_wanted(now, on)
 
 
-class LostInAMove(Watch):
-    def move(self, now: float) -> list[Action]:
-        actions = super().move(now)
-        self.out.clear()
+class LostInAMove(ListWatch):
+    def restart(self, now: float) -> list[WatchAction]:
+        actions = super().restart(now)
+        self.pending_calls.clear()
         return actions[:-1]
 
 
-class NoneAfterAnAnswer(Watch):
-    def answered(self, now: float, number: int, listing: Listing, empty: bool) -> list[Action]:
+class NoneAfterAnAnswer(ListWatch):
+    def answered(self, now: float, number: int, listing: NodeList, empty: bool) -> list[WatchAction]:
         actions = super().answered(now, number, listing, empty)
-        if self.phase.value == "watching" and any(isinstance(a, Take) for a in actions):
-            self.out.clear()
-            return [a for a in actions if isinstance(a, Take)]
+        if self.phase.value == "watching" and any(isinstance(a, ApplyList) for a in actions):
+            self.pending_calls.clear()
+            return [a for a in actions if isinstance(a, ApplyList)]
         return actions
 
 
-class DeafToTheModule(Watch):
+class DeafToTheModule(ListWatch):
     """After a failure nobody asks again."""
 
-    def _failed(self, now: float, problem: str) -> list[Action]:
-        actions = super()._failed(now, problem)
-        if any(isinstance(a, Failed) and not a.watched for a in actions):
+    def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
+        actions = super()._after_failure(now, problem)
+        if any(isinstance(a, ReportFailure) and not a.watched for a in actions):
             self.next_at = 1e9
         return actions
 
@@ -163,7 +163,7 @@
         DeafToTheModule,
     ],
 )
-def test_a_fault_in_the_watch_is_told_by_the_judge(mutant: type[Watch]) -> None:
+def test_a_fault_in_the_watch_is_told_by_the_judge(mutant: type[ListWatch]) -> None:
     assert any(World(day, mutant).play().broken for day in TROUBLES)
 
 
--- a/tests/faults/test_lists.py
+++ b/tests/faults/test_lists.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from notchflow.net.watch import RENEW_MS
+from notchflow.net.watch import RENEWAL_RANGE_MS
 from standins.discovery import Registry, member
 from standins.ports import free_ports
 from tests.rig import Client, Peer, Seen, answer, run, until
@@ -189,11 +189,11 @@
             made.registry.silence()
             silent = time.monotonic()
             await made.registry.phase("box-0", "draining")
-            await asyncio.sleep(RENEW_MS[0] / 1e3 - 2.0)
+            await asyncio.sleep(RENEWAL_RANGE_MS[0] / 1e3 - 2.0)
             assert {who for at, who in made.sent["box-0"] if at > silent + GRACE_S + BUSY_S} == {
                 f"n{n}.1" for n in range(PROXIES)
             }, "nobody can know it yet"
-            await quiet(made, "box-0", silent + RENEW_MS[1] / 1e3)
+            await quiet(made, "box-0", silent + RENEWAL_RANGE_MS[1] / 1e3)
             for load in loads:
                 load.cancel()
             await asyncio.gather(*loads, return_exceptions=True)
