--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -15,7 +15,7 @@
 
 from notchflow.interface import Outcome, RequestClass, State, Status
 from notchflow.net.host import Host
-from notchflow.net.listing import node_id
+from notchflow.net.node_list import node_id
 from notchflow.net.succession import Link, Place, Succession
 from notchflow.operations.handover import FORMAT, HEAD, MAGIC, HandoverError, Reader, Shares, pack
 from tests.helpers import make_request, make_balancer, make_settings, sends
@@ -193,13 +193,13 @@
 
 def test_where_the_new_process_dies_the_old_goes_on(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
-        whole = rig.host.descriptors
+        whole = rig.host.descriptor_limit
         first = await successor(rig, folder, listener)
         await until(lambda: rig.host.succession and rig.host.succession.links)
-        assert rig.host.descriptors < whole
+        assert rig.host.descriptor_limit < whole
         close(first)
         await until(lambda: rig.host.succession and not rig.host.succession.links)
-        assert rig.host.descriptors == whole and (await rig.ask()).status == 200
+        assert rig.host.descriptor_limit == whole and (await rig.ask()).status == 200
         second = await successor(rig, folder, listener)
         assert len(second.listed) == 2, "the old process can be found again"
         close(second)
@@ -304,8 +304,8 @@
         for client in clients:
             assert (await client.ask()).status == 200
         assert sum(node.connections for node in rig.nodes) == dialled
-        assert new.used == 6 + dialled, "the one to discovery is kept apart"
-        assert rig.host.used == 0
+        assert new.descriptors_used == 6 + dialled, "the one to discovery is kept apart"
+        assert rig.host.descriptors_used == 0
         close(new)
 
     replaced(tmp_path, test)
@@ -317,16 +317,16 @@
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         pool = next(iter(rig.host.pools.values()))
         node, address = next(iter(rig.host.pools)), "{}:{}".format(*pool.address)
-        used = rig.host.used
+        used = rig.host.descriptors_used
         for wrong in ((node + 1, address), (node, "127.0.0.1:1")):
             here, there = socket.socketpair()
             rig.host.take_on(here, *wrong, 5.0)
-            assert there.recv(1) == b"" and rig.host.used == used
+            assert there.recv(1) == b"" and rig.host.descriptors_used == used
             there.close()
         here, there = socket.socketpair()
-        rig.host.descriptors = used
+        rig.host.descriptor_limit = used
         rig.host.take_on(here, node, address, 5.0)
-        assert there.recv(1) == b"" and rig.host.used == used
+        assert there.recv(1) == b"" and rig.host.descriptors_used == used
         there.close()
 
     replaced(tmp_path, test)
@@ -358,7 +358,7 @@
         succession.place.dial = lambda: here  # type: ignore[method-assign]
         assert succession.ask() == json.loads(json.dumps(rig.host.state()))
         succession.begin()
-        assert host.descriptors == host.descriptors_whole - 200
+        assert host.descriptor_limit == host.total_descriptor_limit - 200
         there.close()
         close(host)
 
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -153,7 +153,7 @@
     async def test() -> None:
         async with Rig() as rig:
             rig.host.reload(replace(rig.host.config, conn_idle_ms=2_000.0))
-            assert rig.host.idle_limit.stated_ms == rig.host.idle_limit.ms == 1_400.0
+            assert rig.host.idle_limit.configured_ms == rig.host.idle_limit.limit_ms == 1_400.0
 
     run(test())
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,7 +15,7 @@
 
 from notchflow.interface import RequestClass, Settings
 from notchflow.net.config import Config
-from notchflow.net.discovery import Listing, decode_listing
+from notchflow.net.discovery import NodeList, decode_node_list
 from notchflow.net.host import Host
 from notchflow.tenancy.door import TenantDoor
 from tests.helpers import make_settings
@@ -246,7 +246,7 @@
         members = self.members
         if members is None:
             members = [self.entry(i) for i in range(len(self.nodes))]
-        known: Listing = decode_listing({"revision": 41, "complete": True, "members": members})
+        known: NodeList = decode_node_list({"revision": 41, "complete": True, "members": members})
         config = Config(
             name="n0",
             listen=("127.0.0.1", 0),
@@ -262,7 +262,7 @@
         self.host.start()
         assert self.host.front.listener is not None
         if self.greets:
-            await until(self.host.informed)
+            await until(self.host.list_is_current)
         self.port = self.host.front.listener.getsockname()[1]
         return self
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 from notchflow.net import client as downstream
 from notchflow.net import connection
 from notchflow.net.client import STALLED_MS
-from notchflow.net.exchange import Call
+from notchflow.net.exchange import ClientRequest
 from tests.helpers import make_balancer, sends
 from tests.rig import Client, Peer, Rig, answer, run, until
 
@@ -91,7 +91,7 @@
         return sum(box.size for box in self.boxes)
 
     @property
-    def call(self) -> Call:
+    def call(self) -> ClientRequest:
         """The one request that is arriving."""
         (call,) = [c.arriving for c in self.host.front.clients if c.arriving is not None]
         return call
@@ -112,15 +112,15 @@
     async def test() -> None:
         async with BodyRig(whole, whole) as rig:
             body, most = body_of(32 * MB), 0
-            assert len(body) > 3 * rig.host.held_max
+            assert len(body) > 3 * rig.host.buffer_limit
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
             for at in range(0, len(body), MB):
                 await push(client, body[at : at + MB])
-                most = max(most, rig.host.held)
+                most = max(most, rig.host.buffered_bytes)
             seen = await client.receive()
             assert seen is not None and seen.status == 200
-            assert most < rig.host.held_max + MB and rig.host.held == 0
+            assert most < rig.host.buffer_limit + MB and rig.host.buffered_bytes == 0
             (box,) = [box for box in rig.boxes if box.size]
             assert box.got.digest() == hashlib.sha256(body).digest()
             assert rig.host.figures.classes["keyed"].relayed == 1
@@ -163,7 +163,7 @@
             clients = rig.host.front.clients
             await until(lambda: any(c.stopped_at is not None for c in clients) and rig.boxes[0].begun)
             (kept,) = clients
-            assert rig.host.held < rig.host.held_max + MB and rig.call.size < len(body)
+            assert rig.host.buffered_bytes < rig.host.buffer_limit + MB and rig.call.body_size < len(body)
             kept.close_if_over(rig.host.clock.now() + 5_000)
             assert not kept.closing, "it is not the client that is slow"
             release.set()
@@ -249,13 +249,13 @@
             client.send(**PUT, content_length=str(len(body)))
             await push(client, body[: 12 * MB])
             await until(lambda: told)
-            assert rig.call.spent
+            assert rig.call.body_start_dropped
             gone.set()
             client.writer.write(body[12 * MB : 13 * MB])
             seen = await client.receive()
             assert seen is not None and seen.status == 503
-            assert sum(box.begun for box in rig.boxes) == 1 and rig.host.held == 0
-            assert not rig.host.open and not rig.host.balancer.pending
+            assert sum(box.begun for box in rig.boxes) == 1 and rig.host.buffered_bytes == 0
+            assert not rig.host.active_requests and not rig.host.balancer.pending
 
     run(test())
 
@@ -309,8 +309,8 @@
                 seen = await client.receive()
                 assert seen is not None and seen.status == {"chunk": 400, "silence": 408}[way]
                 assert rig.host.figures.classes["keyed"].faulted == 1
-            await until(lambda: not rig.host.open and not rig.boxes[0].open)
-            assert rig.host.held == 0 and not rig.host.balancer.pending and rig.boxes[0].ended == 0
+            await until(lambda: not rig.host.active_requests and not rig.boxes[0].open)
+            assert rig.host.buffered_bytes == 0 and not rig.host.balancer.pending and rig.boxes[0].ended == 0
             assert rig.host.figures.open == 0
 
     run(test())
@@ -348,7 +348,7 @@
             await push(client, body_of(MB // 2))
             await until(lambda: rig.size == MB // 2)
             await asyncio.sleep(0.5)
-            assert rig.call.open is not None and rig.call.open.deadline > rig.host.clock.now() + 5_000
+            assert rig.call.active is not None and rig.call.active.deadline > rig.host.clock.now() + 5_000
             await push(client, body_of(MB // 2))
             seen = await client.receive()
             assert seen is not None and seen.status == 200, "0.3 s from the last byte on"
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -57,7 +57,7 @@
     client.send()
     await until(lambda: rig.sent > sent)
     client.reset()
-    await until(lambda: not rig.host.open)
+    await until(lambda: not rig.host.active_requests)
 
 
 KINDS: list[tuple[str, Script, Callable[[Rig], Awaitable[None]]]] = [
@@ -100,7 +100,7 @@
             with uncollected() as left:
                 for _ in range(ROUNDS):
                     await one(rig)
-                await until(lambda: not rig.host.open)
+                await until(lambda: not rig.host.active_requests)
                 rig.host.timers.clear()  # as when they have all come due
             assert not left
 
@@ -186,8 +186,8 @@
                 await asyncio.gather(
                     *(mixed_client(rig, random.Random(i), numbers, seen) for i in range(clients))
                 )
-                await until(lambda: not rig.host.open)
-                assert rig.host.held == 0, "no body is counted for good"
+                await until(lambda: not rig.host.active_requests)
+                assert rig.host.buffered_bytes == 0, "no body is counted for good"
                 assert len(rig.host.timers) < 20, "no request's timer stays"
                 assert not rig.host.balancer.pending and rig.host.balancer.fleet.in_flight == 0
             statuses = Counter(o.status for o in outcomes)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,7 +18,7 @@
 from notchflow.interface import ListKind, Membership, Outcome, Status
 from notchflow.net import watch
 from notchflow.net.config import load
-from notchflow.net.discovery import decode_listing, node_id
+from notchflow.net.discovery import decode_node_list, node_id
 from tests.rig import Peer, Rig, Seen, answer, run, serve_value, stopped, until
 
 
@@ -137,13 +137,13 @@
 def test_a_bad_entry_is_told_with_its_place_and_value(entry: object, told: str) -> None:
     bad = GOOD | {"id": "s-2"} | entry if isinstance(entry, dict) else entry
     with pytest.raises(ValueError) as caught:
-        decode_listing({"revision": 1, "complete": True, "members": [GOOD, bad]})
+        decode_node_list({"revision": 1, "complete": True, "members": [GOOD, bad]})
     assert str(caught.value).startswith(told)
 
 
 def test_an_entry_without_its_address_says_what_it_lacks() -> None:
     with pytest.raises(ValueError, match=r"members\[0\]: lacks host_port"):
-        decode_listing({"revision": 1, "complete": True, "members": [{"id": "s-1", "phase": "up"}]})
+        decode_node_list({"revision": 1, "complete": True, "members": [{"id": "s-1", "phase": "up"}]})
 
 
 def test_a_change_among_1_024_nodes_reaches_the_requests_that_come_next() -> None:
@@ -217,7 +217,7 @@
                 kind = ListKind.FULL if host.discovery.revision == 41 else ListKind.DELTA
                 host.discovery.revision = 42
                 listing = {"revision": 42, "complete": False, "members": list(entries)}
-                host.apply(decode_listing(listing), kind)
+                host.apply(decode_node_list(listing), kind)
 
             told(rig.entry(0))
             assert (await rig.ask()).status == 200 and (len(first.seen), len(second.seen)) == (1, 0)
@@ -249,13 +249,13 @@
             assert (await rig.ask()).status == 503 and rig.sent == 1
             assert {o.status for o in outcomes} == {Status.MOOT}
             pool.retired = False
-            spare = rig.host.descriptor
+            spare = rig.host.acquire_descriptor
 
             def descriptor() -> bool:
                 pool.retired = True  # before the connection comes up
                 return spare()
 
-            rig.host.descriptor = descriptor  # type: ignore[method-assign]
+            rig.host.acquire_descriptor = descriptor  # type: ignore[method-assign]
             dialled = rig.nodes[0].connections
             assert (await rig.ask()).status == 503 and rig.sent == 1
             assert rig.nodes[0].connections == dialled + 1
@@ -285,14 +285,14 @@
                     sock.connect_ex(address)
                 idle.close()
                 await until(lambda: not host.pools[node].idle)
-                host.pools[node].address, host.pools[node].connect_ms = address, 60_000.0
+                host.pools[node].address, host.pools[node].connect_timeout_ms = address, 60_000.0
                 client.send("PUT", f"/api/{path}", b"paid", X_Call_Class="once")
                 await until(lambda: host.pools[node].dials)
                 ended = stopped(host)
                 if ending:
                     host.stop()
                 host.apply(
-                    decode_listing(
+                    decode_node_list(
                         {"revision": 42, "complete": False, "members": [rig.entry(0, phase="draining")]}
                     ),
                     ListKind.DELTA,
@@ -313,7 +313,7 @@
     monkeypatch: pytest.MonkeyPatch, asked: bool
 ) -> None:
     """Guards against a list held until the wait is over, when all proxies ask at once and too late."""
-    monkeypatch.setattr(watch, "RENEW_MS", (20.0, 60.0))
+    monkeypatch.setattr(watch, "RENEWAL_RANGE_MS", (20.0, 60.0))
     monkeypatch.setattr(watch, "PUSH_WAIT_MS", 20)
     monkeypatch.setattr(watch, "PUSH_MARGIN_MS", 20.0)
 
@@ -336,7 +336,7 @@
             await until(lambda: told)
             assert [m.kind for m in told] == [ListKind.DELTA]
             assert (await rig.ask()).status == 503 and rig.sent == 0
-            assert rig.host.discovery.watching.phase is not watch.Phase.RENEWING
+            assert rig.host.discovery.list_watch.phase is not watch.Phase.RENEWING
 
     run(test())
 
@@ -373,8 +373,8 @@
 
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            rig.host.descriptors = rig.host.used
-            assert not rig.host.descriptor()
+            rig.host.descriptor_limit = rig.host.descriptors_used
+            assert not rig.host.acquire_descriptor()
             rig.host.discovery.watch(True)
             _, writer = await rig.calls.get()
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -162,10 +162,10 @@
         async with Rig() as rig:
             client = await rig.connect()
             client.writer.write(b"PUT /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 999\r\n\r\nab")
-            await until(lambda: rig.host.held == 2)
+            await until(lambda: rig.host.buffered_bytes == 2)
             client.reset()
             await until(lambda: not rig.host.front.clients)
-            assert (rig.host.held, rig.sent) == (0, 0)
+            assert (rig.host.buffered_bytes, rig.sent) == (0, 0)
 
     run(test())
 
@@ -173,13 +173,13 @@
 def test_without_room_for_its_body_a_request_is_refused_once_it_has_come() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            rig.host.held_max = 100_000
+            rig.host.buffer_limit = 100_000
             client = await rig.connect()
             seen = await client.ask("PUT", body=b"x" * 200_000)  # a longer one would go on as it comes
             assert seen.status == 503
-            assert (rig.host.held, rig.sent) == (0, 0)
+            assert (rig.host.buffered_bytes, rig.sent) == (0, 0)
             assert (await client.ask("PUT", body=b"x" * 50_000)).status == 200, "it is used on"
-            assert rig.host.held == 0
+            assert rig.host.buffered_bytes == 0
 
     run(test())
 
@@ -217,7 +217,7 @@
             client = await rig.connect()
             client.send()
             assert await client.receive() is None
-            await until(lambda: not rig.host.open)
+            await until(lambda: not rig.host.active_requests)
             assert rig.sent == 1 and not rig.host.balancer.pending
 
     run(test())
@@ -228,7 +228,7 @@
         async with Rig(limits={"sockets": 44}) as rig:
             for _ in range(60):
                 assert (await rig.ask()).status == 200
-            assert rig.host.used <= rig.host.descriptors
+            assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
     run(test())
 
@@ -246,7 +246,7 @@
             assert not rig.host.front.idle and not rig.host.front.close_idle()
             for _ in range(40):  # they keep their connections; the room is not theirs for good
                 assert (await rig.ask()).status == 200
-            assert rig.host.used <= rig.host.descriptors
+            assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
     run(test())
 
@@ -287,7 +287,7 @@
                 client.send("PUT", body=None, content_length="300000", idempotency_key="1")
             slow.writer.write(b"x" * 200_000)
             clients = rig.host.front.clients
-            await until(lambda: sorted(c.arriving.size for c in clients if c.arriving) == [0, 200_000])
+            await until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
             began = max(c.due_since or 0.0 for c in clients)
             rig.host.front.sweep(began + 3_100)
             seen = await still.receive()
@@ -378,7 +378,7 @@
             client.writer.write_eof()
             await client.reader.read()
             await until(lambda: not rig.host.front.clients)
-            assert not rig.host.open and rig.host.held == 0
+            assert not rig.host.active_requests and rig.host.buffered_bytes == 0
             assert (await rig.ask()).status == 200
 
     run(test())
@@ -402,7 +402,7 @@
 
             answers = await asyncio.gather(*(once(client) for client in clients))
             assert None not in answers, "closed with its request unread"
-            assert rig.host.used <= rig.host.descriptors
+            assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
     run(test())
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -66,7 +66,7 @@
             seen = await rig.ask("PUT", body=b"paid", X_Call_Class="once", X_Budget=budget)
             assert (seen.status, [o.status for o in told]) == (final, [status])
             assert rig.sent == 1
-            assert not rig.host.open and not rig.host.balancer.pending
+            assert not rig.host.active_requests and not rig.host.balancer.pending
 
     run(test())
 
@@ -228,7 +228,7 @@
     client.send()
     await until(lambda: rig.sent)
     end()
-    await until(lambda: not rig.host.open)
+    await until(lambda: not rig.host.active_requests)
     gate.set()
     assert not rig.host.balancer.pending
 
@@ -277,7 +277,7 @@
         async with Rig() as rig:
             rig.host.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
             assert (await rig.ask(X_Budget="0.1")).status == 504
-            assert rig.sent == 0 and not rig.host.open
+            assert rig.sent == 0 and not rig.host.active_requests
 
     run(test())
 
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchflow.net.timers import TICK_MS, Calendar
+from notchflow.net.timers import TICK_MS, TimerWheel
 
 
-def fired(calendar: Calendar, now: float) -> list[object]:
+def fired(calendar: TimerWheel, now: float) -> list[object]:
     return [argument for _, argument in calendar.due(now)]
 
 
@@ -33,7 +33,7 @@
 @settings(derandomize=True, max_examples=300)
 @given(steps)
 def test_against_a_list_that_is_searched(plan: list[tuple[str, float]]) -> None:
-    calendar, now, number = Calendar(), 1.75e12, 0
+    calendar, now, number = TimerWheel(), 1.75e12, 0
     model: dict[int, float] = {}
     handles = {}
     for what, value in plan:
@@ -56,7 +56,7 @@
 
 
 def test_a_timer_may_cancel_and_set_others_of_its_own_tick() -> None:
-    calendar: Calendar = Calendar()
+    calendar: TimerWheel = TimerWheel()
     later = calendar.set(10.0, ignore, "second")
     seen = []
     calendar.set(10.0, ignore, "first")
@@ -73,7 +73,7 @@
 
 
 def test_who_stops_in_the_middle_loses_none() -> None:
-    calendar = Calendar()
+    calendar = TimerWheel()
     for name in "abc":
         calendar.set(5.0, ignore, name)
     taken = calendar.due(9.0)
@@ -87,7 +87,7 @@
     class Body:
         pass
 
-    calendar, body = Calendar(), Body()
+    calendar, body = TimerWheel(), Body()
     gone = weakref.ref(body)
     handle = calendar.set(1e6, ignore, body)
     gc.disable()
@@ -100,7 +100,7 @@
 
 
 def test_a_hundred_thousand_cancelled_timers_leave_a_slot_a_millisecond_at_most() -> None:
-    calendar = Calendar()
+    calendar = TimerWheel()
     for number in range(100_000):
         calendar.cancel(calendar.set(1_000.0 + number / 1_000, ignore, number))
     assert len(calendar) == 0 and len(calendar.slots) == len(calendar.ticks) <= 101
