--- a/benchmarks/inner.py
+++ b/benchmarks/inner.py
@@ -18,7 +18,7 @@
 from httptools import HttpResponseParser
 
 from notchflow.interface import Limits, ListKind, RequestClass, Settings, Timer
-from notchflow.net.client import Client
+from notchflow.net.client import ClientConnection
 from notchflow.net.config import Config
 from notchflow.net.connection import Connection
 from notchflow.net.discovery import decode_node_list
@@ -91,7 +91,7 @@
             connection.parser = HttpResponseParser(connection)
             connection.idle_since = self.host.clock.now()
             pool.idle.append(connection)
-        self.client = Client(self.host.front)
+        self.client = ClientConnection(self.host.frontend)
         self.client.connection_made(cast(asyncio.Transport, Sink()))
         rng = random.Random(1)
         asked = [
--- a/notchflow/cli.py
+++ b/notchflow/cli.py
@@ -69,7 +69,7 @@
     from notchflow import logs
     from notchflow.hosting.service import serve
 
-    logs.begin()
+    logs.configure_logging()
     return serve(file)
 
 
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -134,7 +134,7 @@
         config = Config(f"p{number}", ("proxy", 1), ("discovery", world.place), seed, world.settings, known)
         self.host: WatchedHost = world.make_host(config, self.loop, clock=SimulatedClock(self.loop))
         self.host.proxy = self
-        self.host.fronts = []  # clients are called by the day itself
+        self.host.frontends = []  # clients are called by the day itself
         self.host.start()
         if not world.day.asked:
             world.sim.after(500.0, self.be_ready)
--- a/notchflow/hosting/bridge.py
+++ b/notchflow/hosting/bridge.py
@@ -71,7 +71,7 @@
         return await self.ask(member.show) if member is not None else None
 
     async def duty(self, active: bool) -> bool:
-        return await self.ask(self.host.active if active else self.host.standby)
+        return await self.ask(self.host.activate if active else self.host.enter_standby)
 
 
 def apply(directory: Directory, changes: Iterable[Change]) -> None:
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -27,7 +27,7 @@
 from notchflow.hosting.schema import ClusterModel
 from notchflow.hosting.shared_limits import TERMS, SharedLimits
 from notchflow.net.exchange import LocalReply
-from notchflow.operations.figures import ClassCounts
+from notchflow.operations.metrics import ClassCounts
 from notchflow.state.database import Database
 from notchflow.tenancy.problems import reply
 
--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -48,30 +48,30 @@
         at = before[3] if before is not None and before[2] is state else now
         self.seen[node] = name, address, state, at
 
-    def report(self) -> str:
+    def metrics_text(self) -> str:
         """The platform's figures, and those of tenants."""
         lines = [
             *figures.lines(self.tenants.entries.values()),
             *effect_lines(self.keeper),
             *(self.membership.lines() if self.membership is not None else ()),
         ]
-        return super().report() + "\n".join(lines) + "\n"
+        return super().metrics_text() + "\n".join(lines) + "\n"
 
     def view(self) -> dict[str, Any]:
         """The proxy itself, for those who ask the API."""
         return {
-            "phase": self.duty.phase.value,
-            "serving": self.serving(),
+            "phase": self.lifecycle.phase.value,
+            "serving": self.is_serving(),
             "descriptors": self.descriptors_used,
-            "open_requests": self.figures.open,
+            "open_requests": self.metrics.open,
             "bytes_held": self.buffered_bytes,
-            "clients": sum(len(front.clients) for front in self.fronts),
+            "clients": sum(len(frontend.clients) for frontend in self.frontends),
             "effects": self.keeper.figures() if self.keeper is not None else None,
         }
 
     def rebalance(self, balancers: int) -> None:
         """So many proxies are there, this one counted."""
-        self._take_over(replace(self.config, settings=replace(self.settings, balancers=balancers)))
+        self._apply_settings(replace(self.config, settings=replace(self.settings, balancers=balancers)))
         self.config = replace(self.config, settings=self.settings)
         self.dispatch(SettingsChanged(self.settings))
 
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -28,7 +28,7 @@
 from notchflow.hosting.proxy import HostedHost
 from notchflow.hosting.rules import FleetRules
 from notchflow.interface import ListKind
-from notchflow.net.collector import settle
+from notchflow.net.collector import freeze_startup_objects
 from notchflow.net.node_list import parse_address
 from notchflow.state.database import Database, StateError
 from notchflow.state.replicated import Applied
@@ -101,13 +101,13 @@
             self.host.rebalance,
             self.host.longest_deadline_ms,
             self.db,
-            self.host.figures.classes,
+            self.host.metrics.classes,
             history,
         )
         self.membership = self.host.membership = member
         member.changed.append(self._taking)
         self.directory.shared = member.limits
-        self.door.ready = lambda: member.ready(self.host.duty.away)
+        self.door.ready = lambda: member.ready(self.host.lifecycle.draining)
         if member.rules is not None:
             member.rules.take = self._agreed
             self.door.doubts = member.rules.refuses
@@ -187,7 +187,7 @@
         self.admin.start()
         if self.membership is not None:
             self.membership.start()
-        settle()  # ten thousand tenants stay
+        freeze_startup_objects()  # ten thousand tenants stay
         self.flushing = self.loop.call_later(USED_EVERY_S, self._flush)
         log.info(
             "serving %d tenants on %s, administration on %s",
@@ -221,7 +221,7 @@
             file = load(self.file.path)
         except FileFaults as error:
             log.error("the operator file stays as it was: %s", error)
-            self.host.figures.cfg_invalid += 1
+            self.host.metrics.cfg_invalid += 1
             return []
         fixed = [
             name
--- a/notchflow/hosting/shared_limits.py
+++ b/notchflow/hosting/shared_limits.py
@@ -14,7 +14,7 @@
 from notchflow.cluster.holds import Terms as HoldTerms
 from notchflow.cluster.messages import Counted, Counts, Grant, Message, Want
 from notchflow.cluster.standpoint import Sender
-from notchflow.operations.figures import ClassCounts
+from notchflow.operations.metrics import ClassCounts
 from notchflow.tenancy.limits import Usage
 from notchflow.tenancy.model import Limits
 
--- a/notchflow/logs.py
+++ b/notchflow/logs.py
@@ -27,7 +27,7 @@
         return True
 
 
-def begin() -> None:
+def configure_logging() -> None:
     """Logs to standard error from now on."""
     handler = logging.StreamHandler()
     handler.addFilter(Sparse())
--- a/notchflow/net/client.py
+++ b/notchflow/net/client.py
@@ -11,33 +11,33 @@
 
 from httptools import HttpRequestParser
 
-from notchflow.net.arrival import ARRIVE_MS, BODY_MAX, BODY_RATE, Arrival, Entrance
+from notchflow.net.request_reader import ARRIVE_MS, BODY_MAX, BODY_RATE, RequestReader, Entrance
 from notchflow.net.exchange import CLIENT_CLOSED, REASON_PHRASES, UpstreamResponse, ClientRequest, LocalReply
-from notchflow.net.heads import PLAIN, info_size, number_of, readable
+from notchflow.net.request_head import PLAIN, info_size, number_of, readable
 
 log = logging.getLogger(__name__)
 
 BUDGET_MAX_MS = 60_000.0
-IDLE_MS = 75_000.0
-STALLED_MS = 10_000.0
+IDLE_TIMEOUT_MS = 75_000.0
+STALL_TIMEOUT_MS = 10_000.0
 LINGER_MS = 2_000.0  # of a lingering close, whatever comes meanwhile
 # A client that sends no more may have gone for good: both look the same. For so long after its last byte came
 # what it asked for may still begin, as a half-closed client may send its end along with its request; an
 # attempt over 100 ms after the end is a fault.
-LEFT_MS = 50.0
+HALF_CLOSED_GRACE_MS = 50.0
 GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 PREFIX = b"/api/"
 NO_HOST = b"Host: service.internal\r\n"
 READY = b"/health/ready"
 
 
-class Client(Arrival):
+class ClientConnection(RequestReader):
     """A client's connection."""
 
     __slots__ = ("stepping", "paused", "chunked", "charged", "known", "half_closed", "closed_at")
 
-    def __init__(self, front: Entrance, known: bool = False) -> None:
-        super().__init__(front)
+    def __init__(self, frontend: Entrance, known: bool = False) -> None:
+        super().__init__(frontend)
         self.known = known  # another process served it before: it may be idle as long as any
         self.stepping = False
         self.paused = False
@@ -56,8 +56,8 @@
         self.parser = HttpRequestParser(self)
         self.active_at = self.host.clock.loop_time()
         self.due_since = None if self.known else self.active_at
-        self.front.clients[self] = None
-        self.front.idle[self] = None
+        self.frontend.clients[self] = None
+        self.frontend.idle[self] = None
 
     def eof_received(self) -> bool:
         """asyncio: the client sends no more; whether the connection stays open for answers."""
@@ -70,11 +70,11 @@
         return True
 
     def has_left(self, now: float) -> bool:
-        """Whether it has left, or sends no more and may have left over LEFT_MS ago."""
+        """Whether it has left, or sends no more and may have left over HALF_CLOSED_GRACE_MS ago."""
         if self.transport is None:
             return True
         if self.half_closed:
-            return self.current is None or now > self.current.earliest_arrival_at + LEFT_MS
+            return self.current is None or now > self.current.earliest_arrival_at + HALF_CLOSED_GRACE_MS
         return self.lags and bool(self._poll(GONE))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -91,7 +91,7 @@
             call.finish(CLIENT_CLOSED)
             if item is not None:
                 self.host.client_gone(item)
-        self.front.lost(self)
+        self.frontend.lost(self)
 
     def pause_writing(self) -> None:
         """asyncio: the client reads more slowly than its answer comes."""
@@ -119,7 +119,7 @@
         connection, and an answer that is still on its way is lost with it. So only the sending side is shut;
         what comes is read and dropped until the client's end comes too, for a while at most."""
         self.closing = True
-        self.front.idle.pop(self, None)
+        self.frontend.idle.pop(self, None)
         transport = self.transport
         if transport is None or transport.is_closing() or self.closed_at < math.inf:
             return
@@ -127,7 +127,7 @@
             transport.close()  # all that it sent is read
             return
         self.closed_at = self.host.clock.now()
-        self.front.lingering[self] = None
+        self.frontend.lingering[self] = None
         transport.write_eof()
         if not transport.is_reading():
             transport.resume_reading()
@@ -181,8 +181,8 @@
             except Exception:
                 log.exception("a request failed")
                 self.fail(call, 502)
-            if self.held_off and not self.waiting:
-                self.held_off = False
+            if self.pipeline_full and not self.waiting:
+                self.pipeline_full = False
                 self._read_on(True)
         self.stepping = False
 
@@ -193,17 +193,17 @@
         if call.error_status:
             self.fail(call, call.error_status)
             return
-        if self.front.door is None and call.method == b"GET" and not call.body_not_held:
+        if self.frontend.door is None and call.method == b"GET" and not call.body_not_held:
             plain = PLAIN.fullmatch(call.url)
             if plain is not None:
                 self._request(call, plain[1].decode("ascii"))
                 return
         path = call.url.partition(b"?")[0]
         if path == READY:
-            self._write(call, 503 if self.host.duty.away or not self.host.list_is_current() else 200, [], [], 0)
+            self._write(call, 503 if self.host.lifecycle.draining or not self.host.list_is_current() else 200, [], [], 0)
             return
-        if self.front.door is not None:
-            reply = self.front.door.begin(call)
+        if self.frontend.door is not None:
+            reply = self.frontend.door.begin(call)
             if reply is not None:
                 self._reply(call, reply)
             return
@@ -217,7 +217,7 @@
             self.fail(call, 405)
         elif call.body_not_held:
             log.warning("memory is short: a request is refused")
-            call.class_counts = self.host.figures.take(call.headers.get(b"x-call-class", b"").decode("latin-1"))
+            call.class_counts = self.host.metrics.begin_request(call.headers.get(b"x-call-class", b"").decode("latin-1"))
             self.refuse(call, 0.0)
         else:
             self._request(call, key.decode("latin-1"))
@@ -266,16 +266,16 @@
 
     def refuse(self, call: ClientRequest, retry_after_ms: float) -> None:
         """Answers 503: nothing ran. `retry_after_ms`: when to come back, if positive."""
-        if self.front.door is not None:
-            self._reply(call, self.front.door.refused(retry_after_ms))
+        if self.frontend.door is not None:
+            self._reply(call, self.frontend.door.refused(retry_after_ms))
             return
         extra = [b"Retry-After: %.3f\r\n" % (retry_after_ms / 1e3)] if retry_after_ms > 0 else []
         self._write(call, 503, extra, [], 0)
 
     def fail(self, call: ClientRequest, status: int) -> None:
         """Failed, with no promise."""
-        if self.front.door is not None:
-            self._reply(call, self.front.door.failed(status))
+        if self.frontend.door is not None:
+            self._reply(call, self.frontend.door.failed(status))
         else:
             self._write(call, status, [], [], 0)
 
@@ -302,7 +302,7 @@
 
     def _keeps(self, call: ClientRequest) -> bool:
         # What was sent ahead has been read: a close would lose it.
-        return call.keep_alive and (bool(self.waiting) or not (self.host.duty.away or self.closing))
+        return call.keep_alive and (bool(self.waiting) or not (self.host.lifecycle.draining or self.closing))
 
     def _answered(self, call: ClientRequest, keep: bool, status: int = 200) -> None:
         call.finish(status)
@@ -319,7 +319,7 @@
         elif self.waiting:
             self._step()
         elif self.arriving is None:
-            self.front.idle[self] = None
+            self.frontend.idle[self] = None
 
     def begin_stream(self, call: ClientRequest, answer: UpstreamResponse) -> None:
         """A long answer begins: its head goes out."""
@@ -367,24 +367,24 @@
     def _arrival_ms(self) -> float:
         return ARRIVE_MS + (self.arriving.body_size / BODY_RATE if self.arriving is not None else 0.0)
 
-    def close_if_over(self, now: float) -> None:
+    def close_if_timed_out(self, now: float) -> None:
         """Closes the connection where its client is too slow or silent for too long."""
         if self.transport is None:
             return
-        if self.stopped_at is not None and not self.closing:  # it is not the client that is slow
+        if self.body_paused_at is not None and not self.closing:  # it is not the client that is slow
             call = self.current
-            if now - self.stopped_at > STALLED_MS and call is not None and call.active is not None:
+            if now - self.body_paused_at > STALL_TIMEOUT_MS and call is not None and call.active is not None:
                 self.host.body_stalled(call.active)
             return
         buffered = self.transport.get_write_buffer_size()
-        if now - self.closed_at > (STALLED_MS if buffered else LINGER_MS):
+        if now - self.closed_at > (STALL_TIMEOUT_MS if buffered else LINGER_MS):
             self.transport.abort()
             return
         quiet = now - self.active_at
         busy = self.current is not None and self.current is not self.arriving and not self.paused
         if self.closing and not busy and not self.waiting and quiet > LINGER_MS:
             self.transport.abort()
-        elif self.paused and quiet > STALLED_MS:
+        elif self.paused and quiet > STALL_TIMEOUT_MS:
             self.transport.abort()
         elif not busy and self.due_since is not None and now - self.due_since > self._arrival_ms():
             if self.arriving is not None and not self.closing:
@@ -392,7 +392,7 @@
                 self._step()
             else:
                 self._close_silent(now - self.due_since)
-        elif not busy and quiet > IDLE_MS:
+        elif not busy and quiet > IDLE_TIMEOUT_MS:
             self._close_silent(quiet)
 
     def _close_silent(self, silent_ms: float) -> None:
--- a/notchflow/net/collector.py
+++ b/notchflow/net/collector.py
@@ -10,7 +10,7 @@
 YOUNG = 20_000
 
 
-def settle() -> None:
+def freeze_startup_objects() -> None:
     """To be called once the program has started: it stays, and collections need not walk it again."""
     gc.collect()
     gc.freeze()
--- a/notchflow/net/config.py
+++ b/notchflow/net/config.py
@@ -9,7 +9,7 @@
 
 from notchflow.interface import Settings
 from notchflow.net.node_list import Address, NodeList, decode_node_list, parse_address
-from notchflow.operations.shape import Shape, missing, shape_of
+from notchflow.operations.key_paths import Shape, missing, shape_of
 from notchflow.settings import decode, integer, number
 
 CONN_IDLE_MS = 10_000.0
--- a/notchflow/net/connection.py
+++ b/notchflow/net/connection.py
@@ -154,7 +154,7 @@
         "begun_at",
         "age",
         "held",
-        "turn_over",
+        "read_limit_reached",
     )
 
     def __init__(self, pool: Owner) -> None:
@@ -170,7 +170,7 @@
         self.idle_since = self.last_read_at = self.begun_at = 0.0
         self.age: float | None = None
         self.held = False  # the client reads more slowly than the answer comes
-        self.turn_over = False  # enough of an answer was read in this turn of the loop
+        self.read_limit_reached = False  # enough of an answer was read in this turn of the loop
 
     # -- the transport's callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -213,19 +213,19 @@
 
     def _end_turn(self) -> None:
         """Leaves the rest of a long answer for the next turn of the loop, which else reads 8 MiB at once."""
-        if not self.turn_over and self.transport is not None:
-            self.turn_over = True
+        if not self.read_limit_reached and self.transport is not None:
+            self.read_limit_reached = True
             self._read_on()
             self.pool.host.call_soon(self._next_turn, None)
 
     def _next_turn(self, _: object = None) -> None:
-        self.turn_over = False
+        self.read_limit_reached = False
         self._read_on()
 
     def _read_on(self) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.held or self.turn_over:
+        if self.held or self.read_limit_reached:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
--- a/notchflow/net/console.py
+++ b/notchflow/net/console.py
@@ -31,16 +31,16 @@
     loop: asyncio.AbstractEventLoop
     clock: Clock
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether this process takes clients: from its start on until it is told to end."""
 
-    def standby(self) -> bool:
+    def enter_standby(self) -> bool:
         """Sends clients away; whether that is done now."""
 
-    def active(self) -> bool:
+    def activate(self) -> bool:
         """Back to work; whether that is done now."""
 
-    def report(self) -> str:
+    def metrics_text(self) -> str:
         """The figures."""
 
 
@@ -52,11 +52,11 @@
     if method != allowed:
         return LocalReply(405, (f"Allow: {allowed}\r\n".encode(),), b"")
     if path == METRICS:
-        return LocalReply(200, TEXT, operated.report().encode())
+        return LocalReply(200, TEXT, operated.metrics_text().encode())
     if path == STATUS:
-        done, no = operated.serving(), 503
+        done, no = operated.is_serving(), 503
     else:
-        done, no = operated.standby() if path == STANDBY else operated.active(), 409
+        done, no = operated.enter_standby() if path == STANDBY else operated.activate(), 409
     return LocalReply(200, TEXT, b"yes\n") if done else LocalReply(no, TEXT, b"no: not ready, or told to end\n")
 
 
--- a/notchflow/net/discovery.py
+++ b/notchflow/net/discovery.py
@@ -29,7 +29,7 @@
 
 class Reserve:
     """The host as discovery's connections see it: their descriptors are kept apart, for a proxy that has used
-    up its own must hear of the list all the same. `host.RESERVED` counts the two that may be open."""
+    up its own must hear of the list all the same. `host.RESERVED_DESCRIPTORS` counts the two that may be open."""
 
     def __init__(self, host: DiscoveryHost) -> None:
         self.loop: asyncio.AbstractEventLoop = host.loop
@@ -146,7 +146,7 @@
                     self.host.apply(listing, kind)
                     self.host.share_list(listing)
                 case ReportFailure(problem, watched):
-                    self.host.figures.registry_failures += 1
+                    self.host.metrics.registry_failures += 1
                     log.warning("discovery: %s", problem)
                     if not watched:
                         self.host.dispatch(Membership(ListKind.FAILED))
--- a/notchflow/net/dispatcher.py
+++ b/notchflow/net/dispatcher.py
@@ -37,11 +37,11 @@
 from notchflow.net.config import Config
 from notchflow.net.discovery import Discovery
 from notchflow.net.exchange import CLIENT_CLOSED, UpstreamResponse, ClientRequest, ActiveRequest
-from notchflow.net.front import Front
+from notchflow.net.frontend import Frontend
 from notchflow.net.pool import Pool
 from notchflow.net.stalls import StallDetector
 from notchflow.net.timers import TimerWheel, TimerId
-from notchflow.operations.figures import Figures
+from notchflow.operations.metrics import ProxyMetrics
 from notchflow.policy.balancer import Balancer
 
 log = logging.getLogger(__name__)
@@ -55,8 +55,8 @@
     """What one proxy has in hand: requests and their attempts, timers, descriptors."""
 
     discovery: Discovery
-    front: Front
-    fronts: list[Front]
+    frontend: Frontend
+    frontends: list[Frontend]
     settings: Settings
     classes: dict[str, float]  # their deadlines
     longest_deadline_ms: float
@@ -84,7 +84,7 @@
         self.starved: dict[Attempt, None] = {}  # dials that wait for a descriptor, in order
         self.buffered_bytes = 0
         self.answer_deadline = float("inf")  # no request is held longer than this, once the process is to end
-        self.figures = Figures()
+        self.metrics = ProxyMetrics()
 
     # -- time
     def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
@@ -137,8 +137,8 @@
         self.descriptors_used -= 1
         if self.starved:
             self.call_soon(self._resume_dials, None)
-        for front in self.fronts:
-            front.resume()
+        for frontend in self.frontends:
+            frontend.resume_accepting()
 
     def close_idle_connection(self) -> bool:
         """Closes the connection to a node that has been idle for longest, if there is one."""
@@ -158,7 +158,7 @@
         """None has come free for a while: an idle client gives way, or the attempt is over."""
         if attempt not in self.starved:
             return
-        if any(front.close_idle() for front in self.fronts):
+        if any(frontend.close_idle() for frontend in self.frontends):
             self.await_descriptor(attempt)
             return
         del self.starved[attempt]
@@ -297,7 +297,7 @@
         deadline = call.arrived_at + budget_ms
         if deadline > self.answer_deadline:
             deadline = self.answer_deadline
-        call.class_counts = self.figures.take(cls)
+        call.class_counts = self.metrics.begin_request(cls)
         call.active = item = ActiveRequest(number, call, deadline)
         if deadline <= self.clock.now():
             item.last = Status.TIMEOUT
--- a/notchflow/net/exchange.py
+++ b/notchflow/net/exchange.py
@@ -13,8 +13,8 @@
 from notchflow.net.node_list import NodeList
 from notchflow.net.stalls import StallDetector
 from notchflow.net.timers import TimerWheel, TimerId
-from notchflow.operations.duty import Duty
-from notchflow.operations.figures import ClassCounts, Figures
+from notchflow.operations.lifecycle import Lifecycle
+from notchflow.operations.metrics import ClassCounts, ProxyMetrics
 
 HOP_BY_HOP = frozenset(
     {
@@ -227,7 +227,7 @@
         item, self.active = self.active, None
         counts, self.class_counts = self.class_counts, None
         if counts is not None:
-            counts.end(status)
+            counts.end_request(status)
         ticket, self.ticket = self.ticket, None
         if ticket is not None:
             ticket.done(status, self.ran or (item is not None and bool(item.outstanding_attempts)))
@@ -293,7 +293,7 @@
     """What discovery needs of the host."""
 
     settings: Settings
-    figures: Figures
+    metrics: ProxyMetrics
 
     def dispatch(self, event: Event) -> None:
         """Hands the module an event."""
@@ -319,8 +319,8 @@
     descriptors_used: int
     descriptor_limit: int  # that may be in use now; another process may have the rest for a while
     total_descriptor_limit: int
-    duty: Duty
-    figures: Figures
+    lifecycle: Lifecycle
+    metrics: ProxyMetrics
 
     def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
         """Calls back at a time, in milliseconds on the clock."""
--- a/notchflow/net/front.py
+++ b/notchflow/net/frontend.py
@@ -10,7 +10,7 @@
 from itertools import islice
 from typing import Any
 
-from notchflow.net.client import Client
+from notchflow.net.client import ClientConnection
 from notchflow.net.exchange import Gateway, ClientHost
 
 log = logging.getLogger(__name__)
@@ -21,12 +21,12 @@
 SERVED_SHARE = 0.75
 # Who makes room for others must have been still for so long: a connection just made, or just answered, is
 # about to carry a request, which would be lost, and its client would come back at once for another's place.
-STILL_MS = 100.0
+MIN_IDLE_MS = 100.0
 LOOKED_AT = 8  # idle connections, of those still for longest, before room is said not to be there
 ROOM_AGAIN_MS, ROOM_TOLD_MS = 20.0, 1_000.0
 
 
-class Front:
+class Frontend:
     """The listener and its clients."""
 
     def __init__(self, host: ClientHost, address: tuple[str, int], door: Gateway | None = None) -> None:
@@ -34,14 +34,14 @@
         self.door = door
         self.address = address
         self.listener: socket.socket | None = None
-        self.clients: dict[Client, None] = {}
-        self.idle: dict[Client, None] = {}
-        self.lingering: dict[Client, None] = {}  # closed on this side, the longest first
+        self.clients: dict[ClientConnection, None] = {}
+        self.idle: dict[ClientConnection, None] = {}
+        self.lingering: dict[ClientConnection, None] = {}  # closed on this side, the longest first
         self.accepting = False
         self.backlog_empty = False
         self.inherited: int | None = None
         self.adopting: set[asyncio.Task[Any]] = set()
-        self.sweeping: list[Client] = []
+        self.sweeping: list[ClientConnection] = []
         self.looking = False  # it is looked for room again in a moment
         self.short_told = -ROOM_TOLD_MS  # when the log last told that there is none
 
@@ -50,16 +50,16 @@
         bound nor shut down here."""
         if self.inherited is not None:
             self.listener = inherit(self.inherited)
-            self.resume()
+            self.resume_accepting()
             return
         self.listener = socket.socket(socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setblocking(False)
         self.listener.bind(self.address)
         self.listener.listen(BACKLOG)
-        self.resume()
+        self.resume_accepting()
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """Accepts again, if there is a listener and room."""
         if not self.accepting and self.listener is not None:
             self.accepting = True
@@ -91,12 +91,12 @@
         """Makes room by closing a connection that is surely not about to carry a request, if there is one."""
         now = self.host.clock.now()
         oldest = next(iter(self.lingering), None)
-        if oldest is not None and oldest.transport is not None and now >= oldest.closed_at + STILL_MS:
+        if oldest is not None and oldest.transport is not None and now >= oldest.closed_at + MIN_IDLE_MS:
             oldest.transport.abort()  # what was answered has long arrived
             del self.lingering[oldest]
             return True
         for client in islice(self.idle, LOOKED_AT):
-            if now < client.active_at + STILL_MS:
+            if now < client.active_at + MIN_IDLE_MS:
                 break  # and so are all that became idle after it
             if client.transport is not None and client.silent():
                 del self.idle[client]
@@ -124,7 +124,7 @@
 
     def _look_again(self, _: object = None) -> None:
         self.looking = False
-        self.resume()
+        self.resume_accepting()
 
     def _accept(self) -> None:
         listener = self.listener
@@ -157,7 +157,7 @@
 
     async def _adopt(self, sock: socket.socket, known: bool) -> None:
         try:
-            await self.host.loop.connect_accepted_socket(lambda: Client(self, known), sock)
+            await self.host.loop.connect_accepted_socket(lambda: ClientConnection(self, known), sock)
         except OSError:
             sock.close()
             self.host.release_descriptor()
@@ -167,19 +167,19 @@
         if self.listener is not None:
             self._accept()
             if self.backlog_empty:
-                self.shut()
+                self.close_listener()
         if self.listener is None and not self.adopting:
             self._let_go(list(self.idle))
         return self.listener is None and not self.adopting and not self.clients
 
-    def shut(self) -> None:
+    def close_listener(self) -> None:
         """Closes the listener."""
         if self.listener is not None:
             self._pause()
             self.listener.close()
             self.listener = None
 
-    def pass_on(self, most: int) -> list[int]:
+    def hand_over_idle(self, most: int) -> list[int]:
         """Gives up idle connections, so many at most, for another process to go on with."""
         given: list[int] = []
         for client in list(self.idle):
@@ -193,15 +193,15 @@
 
     def close_still(self, now: float) -> None:
         """Closes connections that carry nothing and are not to be held while clients are sent away."""
-        self._let_go([c for c in self.idle if self.host.duty.overstays(now, c.active_at)])
+        self._let_go([c for c in self.idle if self.host.lifecycle.overstays(now, c.active_at)])
 
-    def _let_go(self, clients: Iterable[Client]) -> None:
+    def _let_go(self, clients: Iterable[ClientConnection]) -> None:
         """Closes those of whom nothing has come: a request that lies unread is answered first."""
         for client in clients:
             if client.transport is not None and client.silent():
                 client.close()
 
-    def lost(self, client: Client) -> None:
+    def lost(self, client: ClientConnection) -> None:
         """A client's connection has ended."""
         self.clients.pop(client, None)
         self.lingering.pop(client, None)
@@ -218,7 +218,7 @@
     def _sweep_on(self, now: float) -> None:
         part, self.sweeping = self.sweeping[:SWEEP_PART], self.sweeping[SWEEP_PART:]
         for client in part:
-            client.close_if_over(now)
+            client.close_if_timed_out(now)
         if self.sweeping:
             self.host.call_soon(self._sweep_on, now)
 
--- a/notchflow/net/succession.py
+++ b/notchflow/net/handover.py
@@ -37,10 +37,10 @@
     def usage(self) -> tuple[int, int]:
         """Descriptors in use, and bytes held."""
 
-    def welcome(self, sock: socket.socket) -> None:
+    def adopt_client_connection(self, sock: socket.socket) -> None:
         """Goes on with a client's connection that another process had."""
 
-    def take_on(self, sock: socket.socket, node: int, address: str, idle_ms: float) -> None:
+    def adopt_node_connection(self, sock: socket.socket, node: int, address: str, idle_ms: float) -> None:
         """Keeps a connection to a box that another process had, idle for so long; or closes it."""
 
     def state(self) -> dict[str, Any]:
@@ -161,9 +161,9 @@
             self.succession.moved(self, -len(boxes) - clients)
         for node, address, idle_ms in boxes:
             sock = socket.socket(fileno=self.descriptors.popleft())
-            self.succession.owner.take_on(sock, int(node), str(address), float(idle_ms))
+            self.succession.owner.adopt_node_connection(sock, int(node), str(address), float(idle_ms))
         for _ in range(clients):
-            self.succession.owner.welcome(socket.socket(fileno=self.descriptors.popleft()))
+            self.succession.owner.adopt_client_connection(socket.socket(fileno=self.descriptors.popleft()))
         self.boxes = bool(state.get("takes_boxes", self.boxes))
 
     def close(self, why: str) -> None:
--- a/notchflow/net/host.py
+++ b/notchflow/net/host.py
@@ -15,18 +15,18 @@
 from notchflow.net.dispatcher import Dispatcher
 from notchflow.net.discovery import Discovery
 from notchflow.net.exchange import Gateway
-from notchflow.net.front import Front
+from notchflow.net.frontend import Frontend
 from notchflow.net.node_list import Address, NodeList, decode_node_list, encode_member
 from notchflow.net.pool import Pool
-from notchflow.net.succession import FDS_MAX, Link, Succession
-from notchflow.operations.duty import Duty, Phase
+from notchflow.net.handover import FDS_MAX, Link, Succession
+from notchflow.operations.lifecycle import Lifecycle, Phase
 from notchflow.operations.handover import Shares
 
 log = logging.getLogger(__name__)
 
 SWEEP_MS = 500.0
 STALL_MS = 2_000.0
-RESERVED = 24  # descriptors for the log, the loop, the listener and discovery
+RESERVED_DESCRIPTORS = 24  # descriptors for the log, the loop, the listener and discovery
 BASE_MB = 48.0
 BESIDE_MB = 24.0  # where another process may come beside this one, what was held once is not given back
 HELD_SHARE = 0.6  # of the rest may be bodies and answers held; the remainder is for buffers on their way
@@ -49,43 +49,43 @@
         super().__init__(config, loop, clock)
         self.idle_limit = IdleLimit(config.conn_idle_ms)
         callers = callers_of(config.sockets) if config.console is not None else 0
-        self.descriptor_limit = self.total_descriptor_limit = max(config.sockets - RESERVED - callers, 8)
+        self.descriptor_limit = self.total_descriptor_limit = max(config.sockets - RESERVED_DESCRIPTORS - callers, 8)
         base = BASE_MB + (BESIDE_MB if config.accept_fd is not None else 0.0)
         self.buffer_limit = self.total_buffer_limit = max(config.memory_mb - base, 16.0) * HELD_SHARE * (1 << 20)
         self.stop_by = float("inf")
-        self.duty = Duty()
-        self._take_over(config)
+        self.lifecycle = Lifecycle()
+        self._apply_settings(config)
         self.console = Console(self, config.console, callers) if config.console is not None else None
-        self.front = Front(self, config.listen, door)
-        self.front.inherited = config.accept_fd
-        self.fronts = [self.front, *(Front(self, address, door) for address in config.also_listen)]
-        self.listed: dict[int, tuple[str, Address, Member]] = {}  # the list as it is now
-        self.succession: Succession | None = None
+        self.frontend = Frontend(self, config.listen, door)
+        self.frontend.inherited = config.accept_fd
+        self.frontends = [self.frontend, *(Frontend(self, address, door) for address in config.also_listen)]
+        self.listed_nodes: dict[int, tuple[str, Address, Member]] = {}  # the list as it is now
+        self.handover: Succession | None = None
         self.discovery = Discovery(self, config.discovery, config.known.revision, config.seed)
 
     # -- life
     def start(self) -> None:
         """Tells the module the list as it was last known, then listens."""
-        state = self.succession.ask() if self.succession is not None else None
+        state = self.handover.ask() if self.handover is not None else None
         if state is None or not self._inherit(state):
             self.apply(self.config.known, ListKind.CACHED)
         self.discovery.start()
         self.call_at(self.clock.now() + SWEEP_MS, self._sweep)
         self._beat()
-        for front in self.fronts:
-            front.listen()
+        for frontend in self.frontends:
+            frontend.listen()
         if self.console is not None:
             self.console.listen()
-        if self.succession is not None:
-            self.succession.begin()
+        if self.handover is not None:
+            self.handover.begin()
 
     def reload(self, config: Config) -> None:
         """A new configuration: its settings hold from now on, and discovery may have moved."""
         if config.listen != self.config.listen or config.console != self.config.console:
             log.warning("a new address to listen on waits for the next start")
-        self.figures.cfg_accepted += 1
+        self.metrics.cfg_accepted += 1
         changed = config.settings != self.settings
-        self._take_over(config)
+        self._apply_settings(config)
         if changed:
             self.dispatch(SettingsChanged(config.settings))
             self.discovery.settings_changed()
@@ -96,21 +96,21 @@
     # -- replacement
     def state(self) -> dict[str, Any]:
         """What the process that takes over is told."""
-        members = [encode_member(*entry) for entry in self.listed.values()]
+        members = [encode_member(*entry) for entry in self.listed_nodes.values()]
         return {
             "listing": {"revision": self.discovery.revision or 0, "complete": True, "members": members},
-            "standby": self.duty.phase is Phase.STANDBY,
+            "standby": self.lifecycle.phase is Phase.STANDBY,
             "learned": self.balancer.export_state(self.clock.now()),
         }
 
     def share_list(self, listing: NodeList) -> None:
         """Tells other processes of this proxy what discovery told this one: the rules see one proxy."""
-        if self.succession is None or not self.succession.links or not listing.members:
+        if self.handover is None or not self.handover.links or not listing.members:
             return
         names, addresses = listing.names or {}, listing.addresses or {}
         members = [encode_member(names[m.node], addresses[m.node], m) for m in listing.members]
         changes = {"revision": listing.revision, "complete": False, "members": members}
-        self.succession.tell({"listing": changes})
+        self.handover.tell({"listing": changes})
 
     def hear(self, news: dict[str, Any]) -> None:
         """What another process of this proxy was told. Its entries leave the own revision as it is."""
@@ -119,7 +119,7 @@
         elif news["duty"] == Phase.STANDBY.value:
             self._stand_by()
         else:
-            self.duty.active(self.clock.now())
+            self.lifecycle.active(self.clock.now())
 
     def _inherit(self, state: dict[str, Any]) -> bool:
         """Begins with what the process before this one tells, unless the list that is known is newer."""
@@ -134,8 +134,8 @@
             self.balancer.restore_state(self.clock.now(), state["learned"])
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("what the process before this one told is malformed: %r", error)
-            return bool(self.listed)
-        log.info("taken over from the process before this one: %d boxes", len(self.listed))
+            return bool(self.listed_nodes)
+        log.info("taken over from the process before this one: %d boxes", len(self.listed_nodes))
         return True
 
     def divide(self, shares: Shares) -> None:
@@ -147,13 +147,13 @@
         """Descriptors in use, and bytes held."""
         return self.descriptors_used, self.buffered_bytes
 
-    def welcome(self, sock: socket.socket) -> None:
+    def adopt_client_connection(self, sock: socket.socket) -> None:
         """Goes on with a client's connection that the process before this one had."""
         sock.setblocking(False)
         self.descriptors_used += 1
-        self.front.adopt(sock, known=True)
+        self.frontend.adopt(sock, known=True)
 
-    def take_on(self, sock: socket.socket, node: int, address: str, idle_ms: float) -> None:
+    def adopt_node_connection(self, sock: socket.socket, node: int, address: str, idle_ms: float) -> None:
         """Keeps a connection to a box that another process had idle, if the box is still there."""
         pool = self.pools.get(node)
         if (
@@ -169,11 +169,11 @@
 
     def _pass_boxes(self, heir: Link) -> None:
         """Passes idle connections to boxes on, so that the other process need not dial each time."""
-        assert self.succession is not None
+        assert self.handover is not None
         for node, pool in self.pools.items():
             while not heir.over and (given := pool.export_idle(FDS_MAX)):
                 address = "{}:{}".format(*pool.address)
-                self.succession.pass_boxes(
+                self.handover.pass_boxes(
                     heir,
                     [(node, address, idle_ms) for _, idle_ms in given],
                     [descriptor for descriptor, _ in given],
@@ -182,29 +182,29 @@
     def _succeed(self, _: object = None) -> None:
         """Passes clients' connections on to the process that takes over, each between two requests, and ends
         with the last. Nothing new is taken: the listener is the other's as well."""
-        assert self.succession is not None
-        heir = self.succession.heir
+        assert self.handover is not None
+        heir = self.handover.heir
         if heir is None:
             log.warning("the process that was to take over has ended")
-            self.duty.deserted()
+            self.lifecycle.deserted()
             self._drain()
             return
         if heir.boxes:
             self._pass_boxes(heir)
-        while not heir.over and (given := self.front.pass_on(FDS_MAX)):
-            self.succession.pass_clients(heir, given)
+        while not heir.over and (given := self.frontend.hand_over_idle(FDS_MAX)):
+            self.handover.pass_clients(heir, given)
         now = self.clock.now()
-        if now >= self.stop_by or not (self.front.clients or self.front.adopting or self.succession.passing):
+        if now >= self.stop_by or not (self.frontend.clients or self.frontend.adopting or self.handover.passing):
             self.loop.stop()
         else:
             self.call_at(now + DRAIN_STEP_MS, self._succeed)
 
-    def _take_over(self, config: Config) -> None:
+    def _apply_settings(self, config: Config) -> None:
         self.settings = settings = config.settings
         self.classes = {c.name: c.deadline_ms for c in settings.classes}
         self.longest_deadline_ms = max(self.classes.values())
         self.max_attempts = settings.limits.max_attempts
-        self.figures.know(self.classes)
+        self.metrics.know(self.classes)
         self.idle_limit.configure(config.conn_idle_ms)
         for pool in self.pools.values():
             pool.connect_timeout_ms = settings.limits.connect_timeout_ms
@@ -212,58 +212,58 @@
     def stop(self) -> None:
         """The process is to end: what was taken is answered, and clients go elsewhere."""
         now = self.clock.now()
-        heir = self.succession.heir if self.succession is not None else None
-        if not self.duty.leave(now, heir is not None):
+        heir = self.handover.heir if self.handover is not None else None
+        if not self.lifecycle.leave(now, heir is not None):
             return
         log.info("draining")
-        if self.succession is not None:
-            self.succession.leave()
+        if self.handover is not None:
+            self.handover.leave()
         self.answer_deadline = now + self.longest_deadline_ms + ANSWER_BY_MS
         self.stop_by = now + self.longest_deadline_ms + STOP_BY_MS
         if heir is not None:
-            self.front.shut()
+            self.frontend.close_listener()
             self._succeed()
         else:
             self.call_at(now + ACCEPT_ON_MS, self._drain)
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether this process takes clients: from its start on until it is told to end."""
-        return self.front.listener is not None and self.duty.phase is not Phase.LEAVING
+        return self.frontend.listener is not None and self.lifecycle.phase is not Phase.LEAVING
 
-    def standby(self) -> bool:
+    def enter_standby(self) -> bool:
         """Sends clients away, until `active`; whether that is done now."""
-        if self.succession is not None:
-            self.succession.tell({"duty": Phase.STANDBY.value})
+        if self.handover is not None:
+            self.handover.tell({"duty": Phase.STANDBY.value})
         return self._stand_by()
 
     def _stand_by(self) -> bool:
-        begun, now = self.duty.phase is Phase.ACTIVE, self.clock.now()
-        done = self.duty.standby(now)
+        begun, now = self.lifecycle.phase is Phase.ACTIVE, self.clock.now()
+        done = self.lifecycle.standby(now)
         if begun:
             log.info("on standby")
             self.call_at(now + STANDBY_STEP_MS, self._send_away)
         return done
 
-    def active(self) -> bool:
+    def activate(self) -> bool:
         """Back to work; whether that is done now."""
-        if self.succession is not None:
-            self.succession.tell({"duty": Phase.ACTIVE.value})
-        return self.duty.active(self.clock.now())
+        if self.handover is not None:
+            self.handover.tell({"duty": Phase.ACTIVE.value})
+        return self.lifecycle.active(self.clock.now())
 
     def _send_away(self, _: object = None) -> None:
-        if self.duty.phase is Phase.STANDBY:
+        if self.lifecycle.phase is Phase.STANDBY:
             now = self.clock.now()
             self.call_at(now + STANDBY_STEP_MS, self._send_away)
-            for front in self.fronts:
-                front.close_still(now)
+            for frontend in self.frontends:
+                frontend.close_still(now)
 
-    def report(self) -> str:
+    def metrics_text(self) -> str:
         """The figures as they are now."""
         now = self.clock.now()
         age = self.discovery.age_ms(now)
-        return self.figures.text(
+        return self.metrics.text(
             {
-                "registry_entries": len(self.listed),
+                "registry_entries": len(self.listed_nodes),
                 "registry_age_ms": -1 if age is None else round(age),
                 "out_of_rotation": self.balancer.count_out_of_rotation(now),
             }
@@ -271,7 +271,7 @@
 
     def _drain(self, _: object = None) -> None:
         now = self.clock.now()
-        if all([front.close() for front in self.fronts]) or now >= self.stop_by:
+        if all([frontend.close() for frontend in self.frontends]) or now >= self.stop_by:
             self.loop.stop()
         else:
             self.call_at(now + DRAIN_STEP_MS, self._drain)
@@ -293,8 +293,8 @@
                 continue
             if attempt.connection.last_read_at + STALL_MS < now:
                 attempt.abandon(Status.RESET)
-        for front in self.fronts:
-            front.sweep(now)
+        for frontend in self.frontends:
+            frontend.sweep(now)
         if self.console is not None:
             self.console.sweep(now)
 
@@ -313,7 +313,7 @@
                 self.pools[member.node] = Pool(self, address, limit, self.idle_limit)
         if kind is not ListKind.DELTA:
             retired.extend(self.pools[node] for node in self.pools.keys() - addresses.keys())
-            self.listed.clear()
+            self.listed_nodes.clear()
         self._list(listing)
         for pool in retired:
             pool.retire()
@@ -328,7 +328,7 @@
 
     def removes_all_nodes(self, listing: NodeList) -> bool:
         """Whether a whole list would leave nothing of the one that is known."""
-        return listing.complete and not listing.members and bool(self.listed)
+        return listing.complete and not listing.members and bool(self.listed_nodes)
 
     def list_is_current(self) -> bool:
         """Whether clients may come: the list is as new as may be expected of a new process."""
@@ -338,6 +338,6 @@
         names, addresses = listing.names or {}, listing.addresses or {}
         for member in listing.members:
             if member.state is State.GONE:
-                self.listed.pop(member.node, None)
+                self.listed_nodes.pop(member.node, None)
             elif member.node in names:
-                self.listed[member.node] = names[member.node], addresses[member.node], member
+                self.listed_nodes[member.node] = names[member.node], addresses[member.node], member
--- a/notchflow/net/process.py
+++ b/notchflow/net/process.py
@@ -12,10 +12,10 @@
 import uvloop
 
 from notchflow import logs
-from notchflow.net.collector import settle
+from notchflow.net.collector import freeze_startup_objects
 from notchflow.net.config import ConfigError, load, reload
 from notchflow.net.host import Host
-from notchflow.net.succession import Succession
+from notchflow.net.handover import Succession
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
         config = reload(os.environ, host.config.shape)
     except ConfigError as error:
         log.error("the configuration stays as it was: %s", error)
-        host.figures.cfg_invalid += 1
+        host.metrics.cfg_invalid += 1
         return
     host.reload(config)
 
@@ -38,12 +38,12 @@
     except ConfigError as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return 2
-    logs.begin()
+    logs.configure_logging()
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     host = Host(config, loop)
     if config.accept_fd is not None:  # another process may be serving, and one may come after this
-        host.succession = Succession(host, tempfile.gettempdir(), config.name)
+        host.handover = Succession(host, tempfile.gettempdir(), config.name)
     loop.add_signal_handler(signal.SIGHUP, on_hangup, host)
     loop.add_signal_handler(signal.SIGTERM, host.stop)
     loop.add_signal_handler(signal.SIGINT, host.stop)
@@ -52,6 +52,6 @@
     except OSError as error:
         print(f"notchflow: cannot listen on {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
         return 1
-    settle()
+    freeze_startup_objects()
     loop.run_forever()
     return 0
--- a/notchflow/net/arrival.py
+++ b/notchflow/net/request_reader.py
@@ -16,7 +16,7 @@
 HEAD_MAX = 32 << 10
 BODY_MAX = 32 << 20
 FLOW_FROM = 256 << 10  # a longer body goes on to a box as it comes, and is held as far as memory allows
-WAITING_MAX = 16
+MAX_PIPELINED = 16
 # By when a request must have come whole: who says nothing, or half, keeps no descriptor. A head may take
 # 2 s; a body has as long as it needs at half the rate of the slowest clients, by what has come of it.
 ARRIVE_MS, BODY_RATE = 2_300.0, 32.0  # bytes a millisecond
@@ -60,11 +60,11 @@
         """A client's connection has ended."""
 
 
-class Arrival(asyncio.Protocol):
+class RequestReader(asyncio.Protocol):
     """A client's connection as far as it is read: `waiting` holds the requests that have come."""
 
     __slots__ = (
-        "front",
+        "frontend",
         "host",
         "transport",
         "parser",
@@ -78,16 +78,16 @@
         "due_since",
         "framing",
         "chunks",
-        "held_off",
-        "stopped_at",
-        "turn_over",
+        "pipeline_full",
+        "body_paused_at",
+        "read_limit_reached",
         "lags",
-        "pieces",
+        "unsent_pieces",
     )
 
-    def __init__(self, front: Entrance) -> None:
-        self.front = front
-        self.host = front.host
+    def __init__(self, frontend: Entrance) -> None:
+        self.frontend = frontend
+        self.host = frontend.host
         self.transport: asyncio.Transport | None = None
         self.parser: HttpRequestParser | None = None
         self.arriving: ClientRequest | None = None
@@ -95,11 +95,11 @@
         self.head_size = self.framing = self.chunks = 0
         self.waiting: deque[ClientRequest] = deque()
         self.current: ClientRequest | None = None
-        self.held_off = False  # nothing is read until what waits is fewer
-        self.stopped_at: float | None = None  # since then no more of a body is wanted
-        self.turn_over = False  # enough of a body was read in this turn of the loop
+        self.pipeline_full = False  # nothing is read until what waits is fewer
+        self.body_paused_at: float | None = None  # since then no more of a body is wanted
+        self.read_limit_reached = False  # enough of a body was read in this turn of the loop
         self.lags = False  # reading has stopped before: an end may lie unread behind what is read
-        self.pieces: list[bytes] = []  # of a body that flows, read but not passed on yet
+        self.unsent_pieces: list[bytes] = []  # of a body that flows, read but not passed on yet
         self.closing = False
         self.active_at = 0.0
         self.due_since: float | None = None  # a request is due: the first, or one that has begun to come
@@ -127,7 +127,7 @@
         self.active_at = self.host.clock.loop_time()
         if self.closing or self.parser is None:
             return  # what follows a fault is read and dropped, so that its answer is not lost to a reset
-        self.front.idle.pop(self, None)
+        self.frontend.idle.pop(self, None)
         if len(data) <= SLICE:
             self._feed(data)
         else:
@@ -140,7 +140,7 @@
                 self._end_turn()
         self._step()
         if self.current is None and self.arriving is None and not self.waiting and not self.closing:
-            self.front.idle[self] = None  # the rest of what was answered already has come
+            self.frontend.idle[self] = None  # the rest of what was answered already has come
 
     def _feed(self, data: bytes) -> None:
         if self.parser is None:
@@ -204,8 +204,8 @@
         if len(call.forwarded_headers) > FIELDS_MAX:
             self._fault(431, f"over {FIELDS_MAX} fields")
             return
-        if self.front.door is not None and not call.error_status:
-            self.front.door.head(call)
+        if self.frontend.door is not None and not call.error_status:
+            self.frontend.door.head(call)
         if int(call.headers.get(b"content-length", 0)) > BODY_MAX:
             self._fault(413, f"a body of over {BODY_MAX} bytes")
         elif b"expect" in call.headers:
@@ -259,7 +259,7 @@
 
     def _flows(self, call: ClientRequest, size: int) -> bool:
         """Whether this body is to go on as it comes, from now on."""
-        if self.front.door is not None or call.method != b"PUT" or call.error_status or call.body_not_held:
+        if self.frontend.door is not None or call.method != b"PUT" or call.error_status or call.body_not_held:
             return False
         short = self.host.buffered_bytes + size > self.host.buffer_limit
         if call.body_size > FLOW_FROM or short and int(call.headers.get(b"content-length", 0)) > FLOW_FROM:
@@ -276,7 +276,7 @@
             call.charged_bytes += len(data)
             call.body.append(data)
         if item is not None:
-            self.pieces.append(data)
+            self.unsent_pieces.append(data)
         if not call.body_start_dropped and host.buffered_bytes > host.buffer_limit:
             if item is not None and host.try_discard_body(item):
                 self._pass_pieces(call)
@@ -287,34 +287,34 @@
 
     def _pass_pieces(self, call: ClientRequest) -> None:
         """Passes on what was read, in one write."""
-        pieces, self.pieces = self.pieces, []
+        pieces, self.unsent_pieces = self.unsent_pieces, []
         if pieces and call.active is not None:
             self.host.body_received(call.active, pieces)
 
     def _end_turn(self) -> None:
         """Leaves the rest of a body for the next turn of the loop, which else reads a socket up to 32 times
         over while there is more, 8 MiB, and all other clients wait for so long."""
-        if not self.turn_over:
-            self.turn_over = True
+        if not self.read_limit_reached:
+            self.read_limit_reached = True
             self._read_on(False)
             self.host.call_soon(self._next_turn, None)
 
     def _next_turn(self, _: object = None) -> None:
-        self.turn_over = False
+        self.read_limit_reached = False
         self._read_on(True)
 
     def set_body_wanted(self, on: bool) -> None:
         """Whether more of the body that is arriving is wanted now; else the client's time stands still."""
-        if on is (self.stopped_at is None) or self.transport is None or self.transport.is_closing():
+        if on is (self.body_paused_at is None) or self.transport is None or self.transport.is_closing():
             return
         now = self.host.clock.now()
         if on:
-            assert self.stopped_at is not None
+            assert self.body_paused_at is not None
             if self.due_since is not None:
-                self.due_since += now - self.stopped_at
-            self.stopped_at, self.active_at = None, now
+                self.due_since += now - self.body_paused_at
+            self.body_paused_at, self.active_at = None, now
         else:
-            self.stopped_at = now
+            self.body_paused_at = now
         self._read_on(on)
 
     def _read_on(self, on: bool) -> None:
@@ -323,7 +323,7 @@
         if not on:
             self.lags = True
             self.transport.pause_reading()
-        elif not self.held_off and self.stopped_at is None and not self.turn_over:
+        elif not self.pipeline_full and self.body_paused_at is None and not self.read_limit_reached:
             self.transport.resume_reading()
 
     def on_chunk_header(self) -> None:
@@ -350,8 +350,8 @@
         if call.body_size or call.method == b"PUT":
             call.forwarded_headers.append(b"Content-Length: %d\r\n" % call.body_size)
         self.waiting.append(call)
-        if len(self.waiting) >= WAITING_MAX and self.transport is not None:
-            self.held_off = True
+        if len(self.waiting) >= MAX_PIPELINED and self.transport is not None:
+            self.pipeline_full = True
             self._read_on(False)
 
     def _fault(self, status: int, why: str) -> None:
--- a/notchflow/operations/duty.py
+++ b/notchflow/operations/lifecycle.py
@@ -25,18 +25,18 @@
     LEAVING = "leaving"  # the process is to end; there is no way back
 
 
-class Duty:
+class Lifecycle:
     """The phase, and what follows from it for readiness and for clients' connections."""
 
-    __slots__ = ("phase", "since", "away")
+    __slots__ = ("phase", "since", "draining")
 
     def __init__(self) -> None:
         self.phase = Phase.ACTIVE
         self.since = 0.0
-        self.away = False  # clients are to go elsewhere; read for every answer
+        self.draining = False  # clients are to go elsewhere; read for every answer
 
     def _enter(self, phase: Phase, now: float) -> None:
-        self.phase, self.since, self.away = phase, now, phase is not Phase.ACTIVE
+        self.phase, self.since, self.draining = phase, now, phase is not Phase.ACTIVE
 
     def standby(self, now: float) -> bool:
         """Sends clients away; whether that is done now. A second call does not begin the time anew."""
@@ -56,12 +56,12 @@
         if self.phase is Phase.LEAVING:
             return False
         self._enter(Phase.LEAVING, now)
-        self.away = not succeeded
+        self.draining = not succeeded
         return True
 
     def deserted(self) -> None:
         """The one that was to take over has ended: clients are to go elsewhere after all."""
-        self.away = True
+        self.draining = True
 
     def overstays(self, now: float, still_since: float) -> bool:
         """Whether a connection that carries nothing since then is to be closed, on standby."""
--- a/notchflow/operations/figures.py
+++ b/notchflow/operations/metrics.py
@@ -29,7 +29,7 @@
         """All requests of this class so far."""
         return self.open + self.fulfilled + self.throttled + self.faulted + self.departed
 
-    def end(self, status: int) -> None:
+    def end_request(self, status: int) -> None:
         """One is over: answered with this status, or 0 where its client left."""
         self.open -= 1
         if status == 200:
@@ -42,7 +42,7 @@
             self.departed += 1
 
 
-class Figures:
+class ProxyMetrics:
     """The counts of all classes. A class that has vanished from the settings keeps its counts."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
@@ -56,7 +56,7 @@
         for name in classes:
             self.classes.setdefault(name, ClassCounts())
 
-    def take(self, name: str) -> ClassCounts:
+    def begin_request(self, name: str) -> ClassCounts:
         """A request of this class is taken; its end is told to what this returns."""
         counts = self.classes.get(name)
         if counts is None:
--- a/tests/crossings/forced.py
+++ b/tests/crossings/forced.py
@@ -40,7 +40,7 @@
     await until(lambda: not host.active_requests and not any(pool.dials for pool in host.pools.values()))
     for client in rig.clients:  # not before: that they go would end what is still under way
         client.writer.transport.abort()
-    await until(lambda: not host.front.clients)
+    await until(lambda: not host.frontend.clients)
     idle = sum(len(pool.idle) for pool in host.pools.values())
     await until(lambda: host.descriptors_used == sum(len(pool.idle) for pool in host.pools.values()))
     await until(lambda: sum(len(node.open) for node in rig.nodes) >= idle)  # all accepted: can be ended
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -15,7 +15,7 @@
 
 from notchflow.interface import Limits, Outcome
 from notchflow.net import client as downstream
-from notchflow.net.arrival import WAITING_MAX
+from notchflow.net.request_reader import MAX_PIPELINED
 from tests.crossings.forced import Dials, all_over, ends_sending
 from tests.rig import Client, Rig, Script, Seen, run, serve_value, until
 
@@ -26,7 +26,7 @@
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is allowed for a moment after the end is over at once, so that no test waits for it."""
-    monkeypatch.setattr(downstream, "LEFT_MS", 0.0)
+    monkeypatch.setattr(downstream, "HALF_CLOSED_GRACE_MS", 0.0)
 
 
 def rig_of(*scripts: Script, **limits: Any) -> Rig:
@@ -38,12 +38,12 @@
 async def seen_to_go(rig: Rig, client: Client) -> None:
     """The proxy has read the client's end, and its clock has moved on."""
     port = client.writer.get_extra_info("sockname")[1]
-    await until(lambda: all(c.half_closed for c in rig.host.front.clients if peer_port(c) == port))
+    await until(lambda: all(c.half_closed for c in rig.host.frontend.clients if peer_port(c) == port))
     then = rig.host.clock.now()
     await until(lambda: rig.host.clock.now() > then)
 
 
-def peer_port(client: downstream.Client) -> int:
+def peer_port(client: downstream.ClientConnection) -> int:
     assert client.transport is not None
     return int(client.transport.get_extra_info("peername")[1])
 
@@ -126,7 +126,7 @@
 
 
 STALL_S = 0.15
-LEFT_MS = downstream.LEFT_MS  # as it is, before `at_once`
+HALF_CLOSED_GRACE_MS = downstream.HALF_CLOSED_GRACE_MS  # as it is, before `at_once`
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -134,7 +134,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against attempts that begin over 0.1 s after an end that was not read yet."""
-    monkeypatch.setattr(downstream, "LEFT_MS", LEFT_MS)
+    monkeypatch.setattr(downstream, "HALF_CLOSED_GRACE_MS", HALF_CLOSED_GRACE_MS)
 
     async def test() -> None:
         gate = Gate(resets)
@@ -212,11 +212,11 @@
         gate = Gate(serve_value)
         async with rig_of(gate) as rig:
             client = await rig.connect()
-            for _ in range(3 * WAITING_MAX):
+            for _ in range(3 * MAX_PIPELINED):
                 client.send()
-            await until(lambda: any(c.held_off for c in rig.host.front.clients) and rig.sent)
+            await until(lambda: any(c.pipeline_full for c in rig.host.frontend.clients) and rig.sent)
             end(client)
-            await until(lambda: all(c.has_left(rig.host.clock.now()) for c in rig.host.front.clients))
+            await until(lambda: all(c.has_left(rig.host.clock.now()) for c in rig.host.frontend.clients))
             gate.open.set()
             await all_over(rig)
             assert rig.sent == 1
@@ -228,7 +228,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against first attempts that begin over 0.1 s after their client's end."""
-    monkeypatch.setattr(downstream, "LEFT_MS", LEFT_MS)
+    monkeypatch.setattr(downstream, "HALF_CLOSED_GRACE_MS", HALF_CLOSED_GRACE_MS)
 
     async def test() -> None:
         async with rig_of(serve_value) as rig:
@@ -243,7 +243,7 @@
             seen = await client.receive()
             assert seen is not None and seen.status == 503
             await all_over(rig)
-            assert rig.sent == 1 and rig.host.figures.classes["read"].departed == 1
+            assert rig.sent == 1 and rig.host.metrics.classes["read"].departed == 1
 
     run(test())
 
@@ -251,7 +251,7 @@
 def test_a_request_whose_end_comes_along_with_it_is_served_after_no_stall(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(downstream, "LEFT_MS", LEFT_MS)
+    monkeypatch.setattr(downstream, "HALF_CLOSED_GRACE_MS", HALF_CLOSED_GRACE_MS)
 
     async def test() -> None:
         async with rig_of(serve_value) as rig:
--- a/tests/crossings/test_close.py
+++ b/tests/crossings/test_close.py
@@ -10,7 +10,7 @@
 import pytest
 
 from notchflow.net import client as downstream
-from notchflow.net import front as entrance
+from notchflow.net import frontend as entrance
 from tests.crossings.forced import all_over
 from tests.crossings.test_client_gone import Gate
 from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
@@ -46,7 +46,7 @@
     """A connection that has had one answer."""
     raw = Raw(rig)
     raw.send(ASK)
-    await until(lambda: rig.host.front.idle and rig.sent and not rig.host.active_requests)
+    await until(lambda: rig.host.frontend.idle and rig.sent and not rig.host.active_requests)
     assert (await raw.read()).startswith(b"HTTP/1.1 200")
     return raw
 
@@ -77,9 +77,9 @@
     async def test() -> None:
         async with Rig() as rig:
             raw = await resting(rig) if asked_before else Raw(rig)
-            await until(lambda: rig.host.front.idle)
+            await until(lambda: rig.host.frontend.idle)
             raw.send(ASK)  # it is there, and nothing has read it
-            rig.host.front.sweep(rig.host.clock.now() + downstream.IDLE_MS + 1.0)
+            rig.host.frontend.sweep(rig.host.clock.now() + downstream.IDLE_TIMEOUT_MS + 1.0)
             assert (await raw.read()).startswith(b"HTTP/1.1 200")
             raw.sock.close()
             await all_over(rig)
@@ -138,7 +138,7 @@
             raw = Raw(rig)
             raw.send(LAST)
             await until(lambda: rig.sent)
-            (kept,) = rig.host.front.clients
+            (kept,) = rig.host.frontend.clients
             assert kept.transport is not None
             kept.transport.pause_reading()  # what follows lies unread as the answer is written
             raw.send(100 * ASK)
@@ -185,14 +185,14 @@
         async with Rig() as rig:
             raw = Raw(rig)
             raw.send(LAST)
-            await until(lambda: any(c.closed_at < float("inf") for c in rig.host.front.clients))
-            (kept,) = rig.host.front.clients
+            await until(lambda: any(c.closed_at < float("inf") for c in rig.host.frontend.clients))
+            (kept,) = rig.host.frontend.clients
             kept.active_at = 0.0
             raw.send(1_000 * ASK)
             await until(lambda: kept.active_at)
             monkeypatch.setattr(downstream, "LINGER_MS", -1.0)
-            kept.close_if_over(rig.host.clock.now())
-            await until(lambda: not rig.host.front.clients)
+            kept.close_if_timed_out(rig.host.clock.now())
+            await until(lambda: not rig.host.frontend.clients)
             await all_over(rig)
             assert rig.sent == 1
 
@@ -200,17 +200,17 @@
 
 
 def test_a_close_that_lingers_makes_room_before_anybody_else(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(entrance, "STILL_MS", 0.0)
+    monkeypatch.setattr(entrance, "MIN_IDLE_MS", 0.0)
 
     async def test() -> None:
         async with Rig() as rig:
             raw, other = Raw(rig), await resting(rig)
             raw.send(LAST)
-            await until(lambda: rig.host.front.lingering)
-            assert rig.host.front.close_idle()
-            front = rig.host.front
-            await until(lambda: not front.lingering and len(front.clients) == 1)
-            assert front.clients.keys() == front.idle.keys()
+            await until(lambda: rig.host.frontend.lingering)
+            assert rig.host.frontend.close_idle()
+            frontend = rig.host.frontend
+            await until(lambda: not frontend.lingering and len(frontend.clients) == 1)
+            assert frontend.clients.keys() == frontend.idle.keys()
             other.sock.close()
             await all_over(rig)
 
@@ -225,17 +225,17 @@
     async def test() -> None:
         async with Rig() as rig:
             raw = await resting(rig)
-            (client,) = rig.host.front.clients
+            (client,) = rig.host.frontend.clients
             (pool,) = rig.host.pools.values()
             assert nodelay(client.transport) and nodelay(pool.idle[0].transport)
             # and on those that another process of this proxy had
-            (descriptor,) = rig.host.front.pass_on(1)
-            rig.host.welcome(socket.socket(fileno=descriptor))
+            (descriptor,) = rig.host.frontend.hand_over_idle(1)
+            rig.host.adopt_client_connection(socket.socket(fileno=descriptor))
             node = next(iter(rig.host.pools))
             given = socket.create_connection(pool.address)
-            rig.host.take_on(given, node, "{}:{}".format(*pool.address), 1.0)
-            await until(lambda: len(pool.idle) == 2 and rig.host.front.idle)
-            (client,) = rig.host.front.idle
+            rig.host.adopt_node_connection(given, node, "{}:{}".format(*pool.address), 1.0)
+            await until(lambda: len(pool.idle) == 2 and rig.host.frontend.idle)
+            (client,) = rig.host.frontend.idle
             assert nodelay(client.transport) and all(nodelay(c.transport) for c in pool.idle)
             raw.sock.close()
             await all_over(rig)
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -9,7 +9,7 @@
 import pytest
 
 from notchflow.net import dispatcher
-from notchflow.net.front import STILL_MS
+from notchflow.net.frontend import MIN_IDLE_MS
 from tests.crossings.forced import all_over
 from tests.crossings.test_client_gone import Gate
 from tests.rig import Client, Rig, Seen, run, serve_value, until
@@ -20,12 +20,12 @@
 def test_a_drain_at_discovery_s_return_is_heard_and_served_around_where_idle_clients_fill_all() -> None:
     async def test() -> None:
         async with Rig(serve_value, serve_value, limits={"sockets": SOCKETS}) as rig:
-            front, port = rig.host.front, rig.discovery.port
+            frontend, port = rig.host.frontend, rig.discovery.port
             _, writer = await rig.calls.get()
             writer.transport.abort()
             rig.discovery.stop()
             crowd = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * SOCKETS)]
-            await until(lambda: not front.accepting and len(front.clients) >= 0.7 * rig.host.descriptor_limit)
+            await until(lambda: not frontend.accepting and len(frontend.clients) >= 0.7 * rig.host.descriptor_limit)
             await rig.discovery.start(port)
             _, writer = await rig.calls.get()
             while writer.transport.is_closing():
@@ -49,8 +49,8 @@
     clients = [await rig.connect() for _ in range(3)]
     for client in clients:
         assert (await client.ask(path="/api/00aa")).status == 200
-    for known in rig.host.front.clients:
-        known.active_at -= STILL_MS
+    for known in rig.host.frontend.clients:
+        known.active_at -= MIN_IDLE_MS
     clients[0].send(path="/api/00aa?held")
     await until(lambda: rig.sent == 4)
     rig.host.descriptor_limit = rig.host.descriptors_used
@@ -77,7 +77,7 @@
             gate.open.set()
             answers = [await client.receive() for client in clients[:2]]
             assert [seen and seen.status for seen in answers] == [200, 200]
-            assert len(rig.host.front.clients) == 3 and rig.host.descriptors_used <= rig.host.descriptor_limit
+            assert len(rig.host.frontend.clients) == 3 and rig.host.descriptors_used <= rig.host.descriptor_limit
             await all_over(rig)
 
     run(test())
@@ -112,7 +112,7 @@
             clients[1].send(path="/api/00aa")
             seen = await clients[1].receive()
             assert seen is not None and seen.status == 200
-            assert len(rig.host.front.clients) == 2
+            assert len(rig.host.frontend.clients) == 2
             gate.open.set()
             await all_over(rig)
 
@@ -126,8 +126,8 @@
         async with Rig() as rig:
             client = await rig.connect()
             assert (await client.ask()).status == 200
-            for known in rig.host.front.clients:
-                known.active_at -= STILL_MS
+            for known in rig.host.frontend.clients:
+                known.active_at -= MIN_IDLE_MS
             rig.host.descriptor_limit = rig.host.descriptors_used
             assert (await rig.ask(path="/health/ready")).status == 200
             assert (await client.ask()).status == 200, "it is still there"
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -125,7 +125,7 @@
             seen = await client.receive()
             assert seen is not None and seen.status == 200
             assert (await rig.ask(X_Call_Class="find")).status == 200
-            text = rig.host.report()
+            text = rig.host.metrics_text()
             assert 'class="find"' in text or 'priority="find"' in text
             for _ in range(3):  # no timer of before asks for what is no more
                 rig.host.dispatch(Timer("second"))
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -16,7 +16,7 @@
 from notchflow.interface import Outcome, RequestClass, State, Status
 from notchflow.net.host import Host
 from notchflow.net.node_list import node_id
-from notchflow.net.succession import Link, Place, Succession
+from notchflow.net.handover import Link, Place, Succession
 from notchflow.operations.handover import FORMAT, HEAD, MAGIC, HandoverError, Reader, Shares, pack
 from tests.helpers import make_request, make_balancer, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
@@ -115,7 +115,7 @@
         known=replace(rig.host.config.known, revision=0, members=()),
     )
     host = Host(config, rig.host.loop)
-    succession = host.succession = Succession(host, str(folder), "n0")
+    succession = host.handover = Succession(host, str(folder), "n0")
     state = await asyncio.get_running_loop().run_in_executor(None, succession.ask)
     succession.ask = lambda: state  # type: ignore[method-assign]
     host.start()
@@ -129,27 +129,27 @@
     async def whole() -> None:
         listener = socket.create_server(ANY)
         async with Rig(serve_value, serve_value, limits={"accept_fd": os.dup(listener.fileno())}) as rig:
-            rig.host.succession = Succession(rig.host, str(tmp_path), "n0")
-            rig.host.succession.begin()
+            rig.host.handover = Succession(rig.host, str(tmp_path), "n0")
+            rig.host.handover.begin()
             await test(rig, tmp_path, listener)
-            rig.host.succession.shut()
+            rig.host.handover.shut()
         listener.close()
 
     run(whole())
 
 
 def close(host: Host) -> None:
-    host.front.shut()
+    host.frontend.close_listener()
     host.timers.clear()
-    for client in list(host.front.clients):
+    for client in list(host.frontend.clients):
         if client.transport is not None:
             client.transport.abort()
     for call in list(host.discovery.calls.values()):
         call.drop()
     for pool in [*host.pools.values(), host.discovery.pool]:
         pool.retire()
-    if host.succession is not None:
-        host.succession.shut()
+    if host.handover is not None:
+        host.handover.shut()
 
 
 def test_clients_notice_nothing_of_a_replacement(tmp_path: Path) -> None:
@@ -167,12 +167,12 @@
             node.script = slow
         busy.send()
         half.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: rig.host.figures.open == 1 and any(c.arriving for c in rig.host.front.clients))
+        await until(lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients))
         new = await successor(rig, folder, listener)
-        assert len(new.listed) == 2 and new.discovery.revision == 41, "the list came from the old process"
+        assert len(new.listed_nodes) == 2 and new.discovery.revision == 41, "the list came from the old process"
         ended = stopped(rig.host)
         rig.host.stop()
-        await until(lambda: len(new.front.clients) == 1)  # the idle one
+        await until(lambda: len(new.frontend.clients) == 1)  # the idle one
         assert not ended
         release.set()
         seen = await busy.receive()
@@ -183,9 +183,9 @@
         await until(lambda: ended)
         for client in (idle, busy, half):
             assert (await client.ask()).status == 200, "on the very connection that it had"
-        assert new.figures.classes["read"].fulfilled == 3
+        assert new.metrics.classes["read"].fulfilled == 3
         assert (await rig.ask()).status == 200, "new connections come to the new process alone"
-        assert new.figures.classes["read"].fulfilled == 4
+        assert new.metrics.classes["read"].fulfilled == 4
         close(new)
 
     replaced(tmp_path, test)
@@ -195,13 +195,13 @@
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         whole = rig.host.descriptor_limit
         first = await successor(rig, folder, listener)
-        await until(lambda: rig.host.succession and rig.host.succession.links)
+        await until(lambda: rig.host.handover and rig.host.handover.links)
         assert rig.host.descriptor_limit < whole
         close(first)
-        await until(lambda: rig.host.succession and not rig.host.succession.links)
+        await until(lambda: rig.host.handover and not rig.host.handover.links)
         assert rig.host.descriptor_limit == whole and (await rig.ask()).status == 200
         second = await successor(rig, folder, listener)
-        assert len(second.listed) == 2, "the old process can be found again"
+        assert len(second.listed_nodes) == 2, "the old process can be found again"
         close(second)
 
     replaced(tmp_path, test)
@@ -212,11 +212,11 @@
         new = await successor(rig, folder, listener)
         held = await rig.connect()
         held.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: any(c.arriving for h in (rig.host, new) for c in h.front.clients))
+        await until(lambda: any(c.arriving for h in (rig.host, new) for c in h.frontend.clients))
         ended = stopped(rig.host)
         rig.host.stop()
         close(new)
-        await until(lambda: rig.host.duty.away or ended)
+        await until(lambda: rig.host.lifecycle.draining or ended)
         held.writer.transport.abort()
         await until(lambda: ended)
 
@@ -229,17 +229,17 @@
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         _, writer = await rig.calls.get()
         new = await successor(rig, folder, listener)
-        await until(lambda: rig.host.succession and rig.host.succession.links)
+        await until(lambda: rig.host.handover and rig.host.handover.links)
         draining = node_id("s-0")
         writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
-        await until(lambda: new.listed[draining][2].state is State.DRAINING)
+        await until(lambda: new.listed_nodes[draining][2].state is State.DRAINING)
         assert new.discovery.revision == 41, "its own watch goes on from where it was"
-        assert new.standby() and new.duty.away
-        await until(lambda: rig.host.duty.away)
+        assert new.enter_standby() and new.lifecycle.draining
+        await until(lambda: rig.host.lifecycle.draining)
         third = await successor(rig, folder, listener)
-        assert third.duty.away, "who starts beside one on standby is on standby"
-        assert rig.host.active()
-        await until(lambda: not new.duty.away and not third.duty.away)
+        assert third.lifecycle.draining, "who starts beside one on standby is on standby"
+        assert rig.host.activate()
+        await until(lambda: not new.lifecycle.draining and not third.lifecycle.draining)
         close(third)
         close(new)
 
@@ -257,7 +257,7 @@
             host.reload(replace(host.config, settings=settings))
         ended = stopped(rig.host)
         rig.host.stop()
-        await until(lambda: ended and new.front.clients)
+        await until(lambda: ended and new.frontend.clients)
         assert (await client.ask(x_call_class="fresh")).status == 200
         assert (await client.ask(x_call_class="read")).status == 503
         close(new)
@@ -272,11 +272,11 @@
         second = await successor(rig, folder, listener)
         ended = stopped(rig.host)
         rig.host.stop()
-        await until(lambda: ended and second.front.clients)
+        await until(lambda: ended and second.frontend.clients)
         third = await successor(rig, folder, listener)
         ended = stopped(second)
         second.stop()
-        await until(lambda: ended and third.front.clients)
+        await until(lambda: ended and third.frontend.clients)
         assert (await client.ask()).status == 200
         close(third)
         close(second)
@@ -299,7 +299,7 @@
         await until(lambda: link.boxes)
         ended = stopped(rig.host)
         rig.host.stop()
-        await until(lambda: ended and len(new.front.clients) == 6)
+        await until(lambda: ended and len(new.frontend.clients) == 6)
         await until(lambda: sum(len(pool.idle) for pool in new.pools.values()) == dialled)
         for client in clients:
             assert (await client.ask()).status == 200
@@ -320,12 +320,12 @@
         used = rig.host.descriptors_used
         for wrong in ((node + 1, address), (node, "127.0.0.1:1")):
             here, there = socket.socketpair()
-            rig.host.take_on(here, *wrong, 5.0)
+            rig.host.adopt_node_connection(here, *wrong, 5.0)
             assert there.recv(1) == b"" and rig.host.descriptors_used == used
             there.close()
         here, there = socket.socketpair()
         rig.host.descriptor_limit = used
-        rig.host.take_on(here, node, address, 5.0)
+        rig.host.adopt_node_connection(here, node, address, 5.0)
         assert there.recv(1) == b"" and rig.host.descriptors_used == used
         there.close()
 
@@ -354,7 +354,7 @@
         here, there = socket.socketpair(socket.AF_UNIX)
         there.sendall(pack(rig.host.state()) + pack({"used": 200, "held": 7}))
         host = Host(rig.host.config, rig.host.loop)
-        succession = host.succession = Succession(host, str(folder), "n1")
+        succession = host.handover = Succession(host, str(folder), "n1")
         succession.place.dial = lambda: here  # type: ignore[method-assign]
         assert succession.ask() == json.loads(json.dumps(rig.host.state()))
         succession.begin()
@@ -367,9 +367,9 @@
 
 async def heir_of(host: Host) -> Link:
     """The link to the process that takes over."""
-    await until(lambda: host.succession and host.succession.heir)
-    assert host.succession is not None and host.succession.heir is not None
-    return host.succession.heir
+    await until(lambda: host.handover and host.handover.heir)
+    assert host.handover is not None and host.handover.heir is not None
+    return host.handover.heir
 
 
 def test_a_stale_file_and_one_that_tells_nonsense(tmp_path: Path) -> None:
@@ -379,13 +379,13 @@
         stale = Place(str(other), "n0")
         stale.listen().close()
         host = await successor(rig, other, listener)
-        assert not host.listed, "nobody is there: it begins with what is known, here nothing"
+        assert not host.listed_nodes, "nobody is there: it begins with what is known, here nothing"
         close(host)
         liar = Place(str(other), "n0").listen()
         asking = asyncio.create_task(successor(rig, other, listener))
         await until(lambda: not _would_block(liar, b"nonsense of some length"))
         host = await asking
-        assert not host.listed
+        assert not host.listed_nodes
         close(host)
         liar.close()
 
--- a/tests/operations/test_figures.py
+++ b/tests/operations/test_metrics.py
@@ -8,7 +8,7 @@
 import re
 from collections import Counter
 
-from notchflow.operations.figures import Figures
+from notchflow.operations.metrics import ProxyMetrics
 from tests.rig import Client, Rig, Seen, answer, run, until
 
 LINE = re.compile(r'svc_operations\{priority="(.+)",status="(\w+)"\} (\d+)')
@@ -19,7 +19,7 @@
 
 
 def test_every_class_is_there_from_the_start_and_labels_are_escaped() -> None:
-    figures = Figures(["read", 'a "b"\\'])
+    figures = ProxyMetrics(["read", 'a "b"\\'])
     text = figures.text({"registry_entries": 3})
     assert counts(text)["read", "fulfilled"] == 0
     assert 'priority="a \\"b\\"\\\\",status="relayed"} 0' in text
@@ -27,9 +27,9 @@
 
 
 def test_strange_classes_share_one_count() -> None:
-    figures = Figures(["read"])
+    figures = ProxyMetrics(["read"])
     for number in range(100):
-        figures.take(f"strange-{number}").end(503)
+        figures.begin_request(f"strange-{number}").end_request(503)
     assert figures.classes["unknown"].throttled == 100 and len(figures.classes) == 2
 
 
@@ -89,14 +89,14 @@
 
         async with Rig(whatever, whatever, whatever) as rig:
             await asyncio.gather(*(one(100_000 * n) for n in range(1, clients + 1)))
-            await until(lambda: rig.host.figures.open == 0)
-            got = counts(rig.host.report())
+            await until(lambda: rig.host.metrics.open == 0)
+            got = counts(rig.host.metrics_text())
             assert sum(seen.values()) == clients * each
             for (cls, word), number in seen.items():
                 assert got[cls, word] == number, (cls, word)
             relayed = sum(n for (_, word), n in got.items() if word == "relayed")
             assert relayed == rig.sent
-            assert sum(c.taken for c in rig.host.figures.classes.values()) == clients * each
+            assert sum(c.taken for c in rig.host.metrics.classes.values()) == clients * each
 
     run(test(), 30 if each == 100 else 600)
 
@@ -110,25 +110,25 @@
             clients = [await rig.connect() for _ in range(5)]
             for client in clients:
                 client.send()
-            await until(lambda: rig.host.figures.open == 5)
-            assert "svc_open_requests 5\n" in rig.host.report()
+            await until(lambda: rig.host.metrics.open == 5)
+            assert "svc_open_requests 5\n" in rig.host.metrics_text()
             for client in clients:
                 client.reset()
-            await until(lambda: rig.host.figures.open == 0)
-            assert "svc_departed 5\n" in rig.host.report()
-            assert rig.host.figures.classes["read"].faulted == 0
+            await until(lambda: rig.host.metrics.open == 0)
+            assert "svc_departed 5\n" in rig.host.metrics_text()
+            assert rig.host.metrics.classes["read"].faulted == 0
 
     run(test())
 
 
 def plain(rig: Rig) -> str:
-    return re.sub("# .*\n", "", rig.host.report())
+    return re.sub("# .*\n", "", rig.host.metrics_text())
 
 
 def test_the_list_is_counted_with_those_that_are_avoided() -> None:
     async def test() -> None:
         async with Rig(whatever, whatever, whatever) as rig:
-            assert "svc_registry_entries 3\n" in rig.host.report()
+            assert "svc_registry_entries 3\n" in rig.host.metrics_text()
             _, writer = await rig.calls.get()
             writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
             _, writer = await rig.calls.get()
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -15,7 +15,7 @@
 from notchflow.interface import Effect, Fail, Limits, Outcome, Refuse, RequestClass, SettingsChanged, Send, Status
 from notchflow.net.config import ConfigError, load, reload
 from notchflow.net.process import on_hangup
-from notchflow.operations.shape import missing, shape_of
+from notchflow.operations.key_paths import missing, shape_of
 from tests.helpers import LIMITS, make_request, make_balancer, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, until
 
@@ -127,7 +127,7 @@
             for fault in BROKEN.values():
                 written.write_text(fault)
                 on_hangup(rig.host)
-            assert rig.host.settings is before and rig.host.figures.cfg_invalid == len(BROKEN)
+            assert rig.host.settings is before and rig.host.metrics.cfg_invalid == len(BROKEN)
             assert (await rig.ask()).status == 200
             written.write_text(
                 json.dumps(
@@ -137,10 +137,10 @@
             )
             assert (await rig.ask(x_call_class="fresh")).status == 503
             on_hangup(rig.host)
-            assert rig.host.figures.cfg_accepted == 1
+            assert rig.host.metrics.cfg_accepted == 1
             assert (await rig.ask(x_call_class="fresh")).status == 200
             assert (await rig.ask(x_call_class="keyed")).status == 503, "a class that has vanished"
-            assert 'priority="fresh",status="fulfilled"} 1' in rig.host.report()
+            assert 'priority="fresh",status="fulfilled"} 1' in rig.host.metrics_text()
 
     with caplog.at_level(logging.ERROR):
         run(test())
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -260,10 +260,10 @@
         if self.door is not None:
             self.door.host = self.host
         self.host.start()
-        assert self.host.front.listener is not None
+        assert self.host.frontend.listener is not None
         if self.greets:
             await until(self.host.list_is_current)
-        self.port = self.host.front.listener.getsockname()[1]
+        self.port = self.host.frontend.listener.getsockname()[1]
         return self
 
     async def connect(self) -> Client:
@@ -296,7 +296,7 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, value: BaseException | None, trace: TracebackType | None
     ) -> None:
-        self.host.front.shut()
+        self.host.frontend.close_listener()
         self.host.timers.clear()
         for peer in (*self.nodes, self.discovery):
             peer.stop()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,7 @@
 from notchflow.interface import BodyArrived, Outcome, Request, Send, BodyDiscarded, Status, Timer
 from notchflow.net import client as downstream
 from notchflow.net import connection
-from notchflow.net.client import STALLED_MS
+from notchflow.net.client import STALL_TIMEOUT_MS
 from notchflow.net.exchange import ClientRequest
 from tests.helpers import make_balancer, sends
 from tests.rig import Client, Peer, Rig, answer, run, until
@@ -93,7 +93,7 @@
     @property
     def call(self) -> ClientRequest:
         """The one request that is arriving."""
-        (call,) = [c.arriving for c in self.host.front.clients if c.arriving is not None]
+        (call,) = [c.arriving for c in self.host.frontend.clients if c.arriving is not None]
         return call
 
 
@@ -123,7 +123,7 @@
             assert most < rig.host.buffer_limit + MB and rig.host.buffered_bytes == 0
             (box,) = [box for box in rig.boxes if box.size]
             assert box.got.digest() == hashlib.sha256(body).digest()
-            assert rig.host.figures.classes["keyed"].relayed == 1
+            assert rig.host.metrics.classes["keyed"].relayed == 1
             assert (await client.ask()).status == 200, "the connection is good for more"
 
     run(test(), 30)
@@ -160,11 +160,11 @@
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
             pushing = asyncio.create_task(push(client, body))
-            clients = rig.host.front.clients
-            await until(lambda: any(c.stopped_at is not None for c in clients) and rig.boxes[0].begun)
+            clients = rig.host.frontend.clients
+            await until(lambda: any(c.body_paused_at is not None for c in clients) and rig.boxes[0].begun)
             (kept,) = clients
             assert rig.host.buffered_bytes < rig.host.buffer_limit + MB and rig.call.body_size < len(body)
-            kept.close_if_over(rig.host.clock.now() + 5_000)
+            kept.close_if_timed_out(rig.host.clock.now() + 5_000)
             assert not kept.closing, "it is not the client that is slow"
             release.set()
             await pushing
@@ -187,15 +187,15 @@
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
             pushing = asyncio.create_task(push(client, body))
-            clients = rig.host.front.clients
+            clients = rig.host.frontend.clients
             await until(
-                lambda: any(c.stopped_at is not None for c in clients) and any(box.begun for box in rig.boxes)
+                lambda: any(c.body_paused_at is not None for c in clients) and any(box.begun for box in rig.boxes)
             )
             first = next(box for box in rig.boxes if box.begun)
             for box in rig.boxes:
                 box.raw = whole
             (kept,) = clients
-            kept.close_if_over(rig.host.clock.now() + STALLED_MS + 1)
+            kept.close_if_timed_out(rig.host.clock.now() + STALL_TIMEOUT_MS + 1)
             await pushing
             seen = await client.receive()
             assert seen is not None and seen.status == 200
@@ -296,7 +296,7 @@
                 client.writer.write(b"%x\r\n" % (4 * MB))
             await push(client, body_of(MB))
             await until(lambda: rig.size == MB)
-            (kept,) = rig.host.front.clients
+            (kept,) = rig.host.frontend.clients
             if way == "reset":
                 client.reset()
             elif way == "end":
@@ -304,14 +304,14 @@
             elif way == "chunk":
                 client.writer.write(body_of(3 * MB) + b"nonsense")
             else:
-                kept.close_if_over(rig.host.clock.now() + 60_000)
+                kept.close_if_timed_out(rig.host.clock.now() + 60_000)
             if way in ("chunk", "silence"):
                 seen = await client.receive()
                 assert seen is not None and seen.status == {"chunk": 400, "silence": 408}[way]
-                assert rig.host.figures.classes["keyed"].faulted == 1
+                assert rig.host.metrics.classes["keyed"].faulted == 1
             await until(lambda: not rig.host.active_requests and not rig.boxes[0].open)
             assert rig.host.buffered_bytes == 0 and not rig.host.balancer.pending and rig.boxes[0].ended == 0
-            assert rig.host.figures.open == 0
+            assert rig.host.metrics.open == 0
 
     run(test())
 
@@ -325,10 +325,10 @@
             await push(client, body_of(MB))
             seen = await client.receive()
             assert seen is not None and seen.status == status
-            assert rig.host.figures.open == 0 and rig.size == 0
+            assert rig.host.metrics.open == 0 and rig.size == 0
             await push(client, body_of(3 * MB))  # read and dropped: a reset would cost it the answer
             assert (await client.ask(path="/health/ready")).status == 200, "the connection is good for more"
-            await until(lambda: rig.host.front.idle)
+            await until(lambda: rig.host.frontend.idle)
             client.send("PUT", path, x_call_class="keyed", connection="close", content_length=str(4 * MB))
             await push(client, body_of(MB))
             seen = await client.receive()
@@ -382,11 +382,11 @@
             client.send(**PUT, content_length=str(MB))
             await push(client, body_of(MB // 2))
             await until(lambda: rig.size == MB // 2)
-            (kept,) = rig.host.front.clients
+            (kept,) = rig.host.frontend.clients
             for count in range(1, 9):
                 client.writer.write(bytes(1_000))
                 await until(lambda count=count: rig.size == MB // 2 + count * 1_000)  # type: ignore[misc]
-                assert not kept.pieces
+                assert not kept.unsent_pieces
 
     run(test())
 
@@ -395,12 +395,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against 8 MiB read at once, while all other clients wait (100 ms beside a body of 32 MB)."""
-    reads: dict[type, list[bool]] = {downstream.Client: [], connection.Connection: []}
+    reads: dict[type, list[bool]] = {downstream.ClientConnection: [], connection.Connection: []}
     for kind, seen in reads.items():
         received = kind.data_received  # type: ignore[attr-defined]
 
         def counted(self: Any, data: bytes, seen: list[bool] = seen, received: Any = received) -> None:
-            seen.append(self.turn_over)
+            seen.append(self.read_limit_reached)
             received(self, data)
 
         monkeypatch.setattr(kind, "data_received", counted)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 import pytest
 
 from notchflow.net.console import CALLERS_MAX
-from notchflow.net.front import inherit
+from notchflow.net.frontend import inherit
 from tests.rig import Client, Rig, Seen, read_message, run, serve_value, until
 
 ANY = ("127.0.0.1", 0)
@@ -80,8 +80,8 @@
 def test_an_answer_longer_than_the_kernel_takes_comes_whole() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
-            rig.host.figures.know(f"class-{n}" for n in range(40_000))
-            text = rig.host.report()
+            rig.host.metrics.know(f"class-{n}" for n in range(40_000))
+            text = rig.host.metrics_text()
             assert len(text) > 8 << 20
             came = (await call(rig, "GET", "/status/metrics")).body.decode()
             assert lasting(came) == lasting(text)
@@ -100,9 +100,9 @@
             asked = await used.ask()
             assert (asked.status, asked.headers["connection"]) == (200, "close")
             assert (await rig.ask()).status == 200, "what still comes is served"
-            rig.host.duty.since -= 1_600
+            rig.host.lifecycle.since -= 1_600
             assert await idle.receive() is None, "idle ones are closed"
-            await until(lambda: not rig.host.front.clients)
+            await until(lambda: not rig.host.frontend.clients)
             assert (await call(rig, "POST", "/standby")).status == 200
             assert (await call(rig, "POST", "/active")).status == 200
             assert (await rig.ask(path="/health/ready")).status == 200
@@ -116,7 +116,7 @@
         async with rig_with_console() as rig:
             held = await rig.connect()
             held.send("PUT", body=None, content_length="5")  # keeps the process there
-            await until(lambda: any(c.arriving for c in rig.host.front.clients))
+            await until(lambda: any(c.arriving for c in rig.host.frontend.clients))
             rig.host.stop()
             assert (await call(rig, "POST", "/active")).status == 409
             assert (await call(rig, "GET", "/status")).status == 503
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -56,12 +56,12 @@
                 writer.close()
                 await until(lambda: told)
                 assert [m.kind for m in told] == [ListKind.FAILED], cut
-                assert len(rig.host.listed) == 1 and rig.host.discovery.revision == 41
+                assert len(rig.host.listed_nodes) == 1 and rig.host.discovery.revision == 41
             assert (await rig.ask()).status == 200
             rig.host.discovery.watch(True)
             _, writer = await rig.calls.get()
             writer.write(whole)
-            await until(lambda: len(rig.host.listed) == 2)
+            await until(lambda: len(rig.host.listed_nodes) == 2)
 
     run(test(), 30)
 
@@ -75,7 +75,7 @@
             members = [rig.entry(0, id=f"s-{n}") for n in range(count)]
             writer.write(rig.listing(44, True, members))
             await until(lambda: rig.host.discovery.revision == 44)
-            assert len(rig.host.listed) == count
+            assert len(rig.host.listed_nodes) == count
             assert (await rig.ask()).status == 200
 
     run(test(), 30)
@@ -106,7 +106,7 @@
             writer.write(data)
             await until(lambda: told)
             assert [m.kind for m in told] == [ListKind.FAILED]
-            assert rig.host.figures.registry_failures == 1
+            assert rig.host.metrics.registry_failures == 1
             assert (await rig.ask()).status == 200
 
     run(test())
@@ -154,7 +154,7 @@
             members = [rig.entry(0, id=f"s-{n}", up_since_ms=1.0) for n in range(1_024)]
             writer.write(rig.listing(44, True, members))
             _, writer = await rig.calls.get()
-            assert len(rig.host.listed) == len(rig.host.pools) == 1_024
+            assert len(rig.host.listed_nodes) == len(rig.host.pools) == 1_024
             drains = [m | {"phase": "draining"} for m in members[1:]]
             writer.write(rig.listing(45, False, drains))
             await rig.calls.get()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from notchflow.net import front
+from notchflow.net import frontend
 from tests.rig import Client, Rig, Seen, answer, run, serve_value, until
 
 GOOD = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: read\r\n\r\n"
@@ -148,7 +148,7 @@
             client = await rig.connect()
             client.send()
             client.writer.write_eof()
-            await until(lambda: rig.sent and all(c.half_closed for c in rig.host.front.clients))
+            await until(lambda: rig.sent and all(c.half_closed for c in rig.host.frontend.clients))
             gate.set()
             seen = await client.receive()
             assert seen is not None and seen.status == 200
@@ -164,7 +164,7 @@
             client.writer.write(b"PUT /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 999\r\n\r\nab")
             await until(lambda: rig.host.buffered_bytes == 2)
             client.reset()
-            await until(lambda: not rig.host.front.clients)
+            await until(lambda: not rig.host.frontend.clients)
             assert (rig.host.buffered_bytes, rig.sent) == (0, 0)
 
     run(test())
@@ -197,7 +197,7 @@
             client = await rig.connect()
             client.reader._limit = 1 << 16  # type: ignore[attr-defined]
             client.send()
-            await until(lambda: any(c.paused for c in rig.host.front.clients))
+            await until(lambda: any(c.paused for c in rig.host.frontend.clients))
             seen = await client.receive()
             assert seen is not None and (seen.status, len(seen.body)) == (200, 300 << 16)
             assert (await client.ask(path="/health/ready")).status == 200
@@ -242,8 +242,8 @@
                 client = await rig.connect()
                 assert (await client.ask()).status == 200
                 client.reset()
-            await until(lambda: not rig.host.front.clients)
-            assert not rig.host.front.idle and not rig.host.front.close_idle()
+            await until(lambda: not rig.host.frontend.clients)
+            assert not rig.host.frontend.idle and not rig.host.frontend.close_idle()
             for _ in range(40):  # they keep their connections; the room is not theirs for good
                 assert (await rig.ask()).status == 200
             assert rig.host.descriptors_used <= rig.host.descriptor_limit
@@ -260,14 +260,14 @@
             assert (await served.ask()).status == 200
             rig.host.timers.clear()  # the sweeps are this test's own, whatever the machine's pace
             half.writer.write(b"GET /api/00aa HTTP/1.1\r\nX-Call-")
-            clients = rig.host.front.clients
+            clients = rig.host.frontend.clients
             await until(lambda: sum(c.arriving is not None for c in clients) == 1 and len(clients) == 3)
             began = max(c.due_since or 0.0 for c in clients)
-            rig.host.front.sweep(began + 1_000)
+            rig.host.frontend.sweep(began + 1_000)
             half.writer.write(b"Id: 1\r\n")
             await until(lambda: any(c.head_size > 35 for c in clients))
             assert len(clients) == 3
-            rig.host.front.sweep(began + 2_400)
+            rig.host.frontend.sweep(began + 2_400)
             assert await silent.reader.read() == b""
             seen = await half.receive()
             assert seen is not None and seen.status == 408
@@ -286,10 +286,10 @@
             for client in (slow, still):
                 client.send("PUT", body=None, content_length="300000", idempotency_key="1")
             slow.writer.write(b"x" * 200_000)
-            clients = rig.host.front.clients
+            clients = rig.host.frontend.clients
             await until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
             began = max(c.due_since or 0.0 for c in clients)
-            rig.host.front.sweep(began + 3_100)
+            rig.host.frontend.sweep(began + 3_100)
             seen = await still.receive()
             assert seen is not None and seen.status == 408
             slow.writer.write(b"x" * 100_000)
@@ -326,7 +326,7 @@
             seen = await busy.receive()
             assert seen is not None and (seen.status, seen.headers["connection"]) == (200, "close")
             await ended.wait()
-            assert rig.host.front.listener is None
+            assert rig.host.frontend.listener is None
 
     run(test())
 
@@ -377,7 +377,7 @@
                 client.writer.write(piece)
             client.writer.write_eof()
             await client.reader.read()
-            await until(lambda: not rig.host.front.clients)
+            await until(lambda: not rig.host.frontend.clients)
             assert not rig.host.active_requests and rig.host.buffered_bytes == 0
             assert (await rig.ask()).status == 200
 
@@ -386,13 +386,13 @@
 
 def test_no_client_that_is_about_to_ask_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against new connections that close one another: each client came back at once, for the next."""
-    monkeypatch.setattr(front, "STILL_MS", 60_000.0)  # whatever the machine's pace
+    monkeypatch.setattr(frontend, "MIN_IDLE_MS", 60_000.0)  # whatever the machine's pace
 
     async def test() -> None:
         async with Rig(limits={"sockets": 44}) as rig:
-            front = rig.host.front
+            frontend = rig.host.frontend
             clients = await asyncio.gather(*(rig.connect() for _ in range(60)))
-            await until(lambda: not front.accepting)  # as many as there is room for, and none has asked
+            await until(lambda: not frontend.accepting)  # as many as there is room for, and none has asked
 
             async def once(client: Client) -> Seen | None:
                 client.send()
@@ -410,19 +410,19 @@
 def test_one_whose_request_lies_unread_makes_no_room() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            front = rig.host.front
+            frontend = rig.host.frontend
             asked, silent = await rig.connect(), await rig.connect()
             for client in (asked, silent):
                 assert (await client.ask()).status == 200
-            await until(lambda: len(front.idle) == 2)
-            for kept in front.idle:
+            await until(lambda: len(frontend.idle) == 2)
+            for kept in frontend.idle:
                 kept.active_at -= 1_000  # still for long
-            transport = next(iter(front.idle)).transport
+            transport = next(iter(frontend.idle)).transport
             assert transport is not None
             transport.pause_reading()  # as if the loop were busy
             asked.send()
             await asyncio.sleep(0.02)
-            assert front.close_idle() and len(front.idle) == 1, "the other one goes"
+            assert frontend.close_idle() and len(frontend.idle) == 1, "the other one goes"
             transport.resume_reading()
             seen = await asked.receive()
             assert seen is not None and seen.status == 200
