--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -19,9 +19,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from notchflow.cluster.budgets import Budgets, Terms
-from notchflow.cluster.messages import Envelope, seal
-from notchflow.cluster.model import Life
+from notchflow.cluster.budgets import Budgets, TokenTerms
+from notchflow.cluster.messages import Envelope, encode_message
+from notchflow.cluster.model import Incarnation
 from notchflow.emulator.budgets import Budget, World
 from notchflow.faults import checks
 from notchflow.faults.rig import Rig
@@ -97,7 +97,7 @@
             match rng.randint(0, 4):
                 case 0:
                     made.kill(name)
-                    made.start(name, 1.0 - rng.random() * Terms().drift)
+                    made.start(name, 1.0 - rng.random() * TokenTerms().clock_drift)
                 case 1:
                     made.pause(name, rng.choice((300.0, 1_100.0, 3_000.0)))
                 case 2:
@@ -198,7 +198,7 @@
             made.islands(mixed[:cut], mixed[cut:])
         for name in rng.sample(names, size // 20):
             made.kill(name)
-            made.start(name, 1.0 - rng.random() * Terms().drift)
+            made.start(name, 1.0 - rng.random() * TokenTerms().clock_drift)
         for name in rng.sample(names, size // 20):
             made.pause(name, 700.0)
         made.run(1_000.0)
@@ -215,7 +215,7 @@
 def cost(quick: bool) -> list[str]:
     """A token's own cost, and bytes at 30 instances and 1,000 tenants of which 10 are busy."""
     count = 100_000 if quick else 400_000
-    core = Budgets("p0", ["p0"], Terms(), random.Random(1), 0.0)
+    core = Budgets("p0", ["p0"], TokenTerms(), random.Random(1), 0.0)
     found: dict[str, list[float]] = {"bucket": [], "budget": []}
     for _ in range(5):
         plain = Bucket(1e9, 0.0)
@@ -233,7 +233,7 @@
     sizes = [0, 0]
 
     def weigh(sender: str, to: str, body: Any) -> list[float] | None:
-        sizes[0] += len(seal(b"s" * 32, Envelope(sender, Life(1 << 40, 1 << 60), 1 << 20, to, body)))
+        sizes[0] += len(encode_message(b"s" * 32, Envelope(sender, Incarnation(1 << 40, 1 << 60), 1 << 20, to, body)))
         sizes[1] += 1
         return None
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -25,7 +25,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from notchflow.cluster.model import Life, Settings
+from notchflow.cluster.model import Incarnation, Settings
 from notchflow.emulator.heartbeats import Heartbeats
 from notchflow.emulator.members import Fleet, Law
 from notchflow.faults import checks
@@ -38,7 +38,7 @@
 from standins.load import Paced
 
 FULL: Final = Settings()
-PLAIN: Final = replace(FULL, confirmations=0, suspicion_spread=1.0, awareness_max=1, stall_ms=1e12)
+PLAIN: Final = replace(FULL, confirmations=0, suspicion_max_factor=1.0, local_health_max=1, stall_ms=1e12)
 LOSSY: Final = Law(loss=0.05)
 HOT_RATE: Final = 500.0
 CALM_MS, SLOW_MS = 5_000.0, 20_000.0
@@ -51,7 +51,7 @@
     """A fleet that runs this kind of membership."""
     names = [f"p{number:04}" for number in range(size)]
 
-    def beats(name: str, life: Life, address: str, rng: random.Random) -> Heartbeats:
+    def beats(name: str, life: Incarnation, address: str, rng: random.Random) -> Heartbeats:
         return Heartbeats(name, life, names, rng)
 
     settings = PLAIN if kind == "swim" else FULL
@@ -293,7 +293,7 @@
         took.append(outcome.agreed_ms if outcome.agreed_ms is not None else float("inf"))
         missed += [str(b) for b in outcome.broken]
     spread("heal of a partition to equal views, 8 instances", took)
-    print(f"the formula says {FULL.heal(8):.0f} ms")
+    print(f"the formula says {FULL.heal_bound_ms(8):.0f} ms")
     return missed + (["views equal after more than 3 s"] if max(took) > 3_000 else [])
 
 
--- a/notchflow/admin/cluster_client.py
+++ b/notchflow/admin/cluster_client.py
@@ -16,7 +16,7 @@
 
 from notchflow.admin.client import DEFAULT_URL, CallFailed, Client, NoToken, show, token_of
 from notchflow.cluster import histories
-from notchflow.cluster.counts import CLASS_FIGURES
+from notchflow.cluster.fleet_metrics import CLASS_METRICS
 
 EVERY_S: Final = 0.5
 WIDTH: Final = 120  # the table's, whatever it is printed to
@@ -74,7 +74,7 @@
     if options.json:
         show(lines[-options.most :] if options.most else lines, True)
     else:
-        for text in histories.table(lines, options.most):
+        for text in histories.format_lines(lines, options.most):
             print(text)
     return 0
 
@@ -120,7 +120,7 @@
         title="requests by class, all instances",
         caption=f"the oldest part is {figures['age_ms'] / 1e3:g} s old; missing: {missing}",
     )
-    names = [name for name in CLASS_FIGURES if name]
+    names = [name for name in CLASS_METRICS if name]
     for name in ("class", *names):
         made.add_column(name, justify="left" if name == "class" else "right")
     for name, values in figures["classes"].items():
--- a/notchflow/cluster/actions.py
+++ b/notchflow/cluster/actions.py
@@ -6,7 +6,7 @@
 from typing import Any, TypeAlias
 
 from notchflow.cluster.messages import Message
-from notchflow.cluster.model import Life
+from notchflow.cluster.model import Incarnation
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,19 +30,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistIncarnation:
     """Make this life durable before anything is sent under it."""
 
-    life: Life
+    incarnation: Incarnation
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class MembershipEvent:
     """For the log and the history: what, of whom, and what more there is to it."""
 
     what: str
     subject: str = ""
-    more: dict[str, Any] = field(default_factory=dict)
+    details: dict[str, Any] = field(default_factory=dict)
 
 
-Action: TypeAlias = Datagram | Exchange | Keep | Tell
+Action: TypeAlias = Datagram | Exchange | PersistIncarnation | MembershipEvent
--- a/notchflow/cluster/agreement/edge.py
+++ b/notchflow/cluster/agreement/edge.py
@@ -29,9 +29,9 @@
     Vote,
     Voted,
 )
-from notchflow.cluster.edge import Edge
+from notchflow.cluster.transport import ClusterTransport
 from notchflow.cluster.messages import Message
-from notchflow.cluster.standpoint import Sender
+from notchflow.cluster.local_state import Sender
 from notchflow.store.engine import StoreError
 
 log = logging.getLogger(__name__)
@@ -62,7 +62,7 @@
 class Agreement:
     """One instance's part, running."""
 
-    def __init__(self, edge: Edge, raft: Raft, terms: Terms, keep: Keep, rules: Rules) -> None:
+    def __init__(self, edge: ClusterTransport, raft: Raft, terms: Terms, keep: Keep, rules: Rules) -> None:
         self.edge, self.raft, self.keep, self.rules = edge, raft, keep, rules
         self.session = Session(raft, terms, edge.now())
         self.session.applied(rules.at())
--- a/notchflow/cluster/budgets.py
+++ b/notchflow/cluster/budgets.py
@@ -2,8 +2,8 @@
 
 A budget of `rate` and `burst` is cut into equal parts; each part has one owner, by rendezvous over the
 roster, and is a token bucket of its own. An owner admits from its bucket whatever it hears, and lends whole
-tokens of it to others that ask. A lent token is good until `life_ms` after it was *asked* for, on the
-borrower's clock; the owner counts it as still there until `life_ms` and the drift allowed after it
+tokens of it to others that ask. A lent token is good until `loan_ms` after it was *asked* for, on the
+borrower's clock; the owner counts it as still there until `loan_ms` and the clock_drift allowed after it
 *answered*, unless the borrower says that it is spent. In an owner's bucket what is there and what is out
 never exceed its part.
 
@@ -22,8 +22,8 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from notchflow.cluster.messages import Grant, Lent, Want, Wanted
-from notchflow.cluster.model import Life
+from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.model import Incarnation
 
 TENANTS_A_MESSAGE: Final = 10
 SPENT_A_MESSAGE: Final = 8  # lots of one budget
@@ -36,20 +36,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class TokenTerms:
     """What all instances of a fleet must be set to alike."""
 
-    life_ms: float = 500.0  # of a lent token, from when it was asked for
-    drift: float = 1 / 200  # by which two clocks may differ
+    loan_ms: float = 500.0  # of a lent token, from when it was asked for
+    clock_drift: float = 1 / 200  # by which two clocks may differ
     tick_ms: float = 50.0  # between two rounds of asking
     ahead_ms: float = 250.0  # tokens are asked for as many as this long needs
     smooth_ms: float = 300.0  # over which demand is taken
     idle_ms: float = 2_000.0  # after so long without a request nothing is kept for a tenant
 
     @property
-    def out_ms(self) -> float:
+    def outstanding_ms(self) -> float:
         """For how long an owner counts what it lent as there."""
-        return self.life_ms * (1 + self.drift)
+        return self.loan_ms * (1 + self.clock_drift)
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
             self.lots.pop(number, None)
 
 
-def out_of(loans: dict[tuple[str, Life], Loan], now: float) -> int:
+def out_of(loans: dict[tuple[str, Incarnation], Loan], now: float) -> int:
     """What may still be used of all loans; those of which nothing may are forgotten."""
     total = 0
     for borrower, loan in list(loans.items()):
@@ -171,7 +171,7 @@
         self.part: Part | None = None
         self.level = 0.0
         self.at = now
-        self.loans: dict[tuple[str, Life], Loan] = {}
+        self.loans: dict[tuple[str, Incarnation], Loan] = {}
         self.held: dict[str, Held] = {}
         self.demand = 0.0  # requests a second, of late
         self.asked = 0  # since the last tick
@@ -211,17 +211,17 @@
     of this name, which this one knows nothing of, have ended."""
 
     def __init__(
-        self, me: str, roster: Iterable[str], terms: Terms, rng: random.Random, started_at: float
+        self, me: str, roster: Iterable[str], terms: TokenTerms, rng: random.Random, started_at: float
     ) -> None:
         self.me, self.roster, self.terms, self.rng = me, tuple(sorted(set(roster))), terms, rng
-        self.opens_at = started_at + terms.out_ms
+        self.opens_at = started_at + terms.outstanding_ms
         self.accounts: dict[str, Account] = {}
         self.known: dict[str, tuple[float, float, float]] = {}  # rate, burst, since when
         self.asking: dict[int, tuple[str, float]] = {}  # numbers of what was asked: of whom, and when
         self.number = rng.randrange(NUMBERS)
-        self.hungry: dict[str, None] = {}  # budgets that were asked for since they were last idle
+        self.active_keys: dict[str, None] = {}  # budgets that were asked for since they were last idle
         self.ticked_at = started_at
-        self.figures = {"asked": 0, "lent": 0, "borrowed": 0, "late": 0}
+        self.metrics = {"asked": 0, "lent": 0, "borrowed": 0, "late": 0}
 
     # -- a request
     def take(self, key: str, now: float, rate: float, burst: float) -> float:
@@ -229,8 +229,8 @@
         account = self._account(key, now, rate, burst)
         account.asked += 1
         account.asked_at = now
-        if key not in self.hungry:
-            self.hungry[key] = None
+        if key not in self.active_keys:
+            self.active_keys[key] = None
             account.since = now
         if account.level < WHOLE:  # else it was counted before, and nothing takes from it but this
             account.fill(now, self.opens_at)
@@ -265,7 +265,7 @@
             account.fill(now, self.opens_at)
         return account
 
-    def know(self, key: str, now: float, rate: float, burst: float) -> None:
+    def set_limit(self, key: str, now: float, rate: float, burst: float) -> None:
         """A budget as it is set; others may ask for its tokens before anybody asks here. Until somebody does
         it costs a tuple."""
         if key in self.accounts:
@@ -283,25 +283,25 @@
     def forget(self, key: str) -> None:
         self.accounts.pop(key, None)
         self.known.pop(key, None)
-        self.hungry.pop(key, None)
+        self.active_keys.pop(key, None)
 
     # -- between instances
-    def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Want]]:
+    def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, LoanRequest]]:
         """What to ask of whom, of those that may be there."""
         before, self.ticked_at = self.ticked_at, now
         there = set(present)
         drawn = set(self.rng.sample(sorted(there), OWNERS_A_TICK)) if len(there) > OWNERS_A_TICK else there
-        wanted: dict[str, list[Wanted]] = {}
-        for key in list(self.hungry):
+        wanted: dict[str, list[LoanItem]] = {}
+        for key in list(self.active_keys):
             account = self.accounts[key]
             self._measure(account, max(now - max(before, account.since), 1.0))
             if now - account.asked_at > self.terms.idle_ms:
-                del self.hungry[key]
+                del self.active_keys[key]
                 account.demand = account.gained = 0.0
                 continue
             for owner, one in self._wants(account, now, there, drawn):
                 wanted.setdefault(owner, []).append(one)
-        for number in [n for n, (_, at) in self.asking.items() if now - at > self.terms.life_ms]:
+        for number in [n for n, (_, at) in self.asking.items() if now - at > self.terms.loan_ms]:
             del self.asking[number]
         messages = [
             (owner, tuple(many[n : n + TENANTS_A_MESSAGE]))
@@ -312,11 +312,11 @@
             messages = self.rng.sample(messages, MESSAGES_A_TICK)
         return [(owner, self._ask(owner, many, now)) for owner, many in messages]
 
-    def _ask(self, owner: str, many: tuple[Wanted, ...], now: float) -> Want:
+    def _ask(self, owner: str, many: tuple[LoanItem, ...], now: float) -> LoanRequest:
         self.number = self.number % NUMBERS + 1
         self.asking[self.number] = owner, now
-        self.figures["asked"] += 1
-        return Want(self.number, many)
+        self.metrics["asked"] += 1
+        return LoanRequest(self.number, many)
 
     def _measure(self, account: Account, span: float) -> None:
         weight = min(span / self.terms.smooth_ms, 1.0)
@@ -326,7 +326,7 @@
 
     def _wants(
         self, account: Account, now: float, there: set[str], drawn: set[str]
-    ) -> list[tuple[str, Wanted]]:
+    ) -> list[tuple[str, LoanItem]]:
         """Asks some of the owners that are there for their part of what is lacking; tells each what is used
         up."""
         account.fill(now, self.opens_at)
@@ -345,22 +345,22 @@
         for name in others:
             held = account.held.get(name)
             if each > 0:
-                found.append((name, Wanted(account.key, each, held.report(now) if held is not None else ())))
+                found.append((name, LoanItem(account.key, each, held.report(now) if held is not None else ())))
         return found
 
-    def asked(self, now: float, borrower: str, life: Life, want: Want) -> Grant:
+    def handle_loan_request(self, now: float, borrower: str, life: Incarnation, want: LoanRequest) -> LoanGrant:
         """What is lent of what is asked for."""
         lent = []
-        for one in want.wants:
+        for one in want.items:
             account = self._known(one.key, now)
             if account is not None and account.part is not None:
                 tokens = self._lend(account, now, (borrower, life), want.number, one)
                 if tokens:
                     lent.append(Lent(one.key, tokens))
-        return Grant(want.number, tuple(lent))
+        return LoanGrant(want.number, tuple(lent))
 
     def _lend(
-        self, account: Account, now: float, borrower: tuple[str, Life], number: int, one: Wanted
+        self, account: Account, now: float, borrower: tuple[str, Incarnation], number: int, one: LoanItem
     ) -> int:
         loan = account.loans.get(borrower)
         if loan is not None:
@@ -372,8 +372,8 @@
         if tokens < 1:
             return 0
         account.level -= tokens
-        account.loans.setdefault(borrower, Loan()).lots[number] = now + self.terms.out_ms, tokens
-        self.figures["lent"] += tokens
+        account.loans.setdefault(borrower, Loan()).lots[number] = now + self.terms.outstanding_ms, tokens
+        self.metrics["lent"] += tokens
         return tokens
 
     def _kept(self, account: Account, now: float) -> float:
@@ -386,21 +386,21 @@
         ahead = min(account.demand, account.part.rate) * self.terms.ahead_ms / 1e3
         return max(first, min(ahead, account.part.burst))
 
-    def granted(self, now: float, owner: str, grant: Grant) -> None:
+    def handle_loan_grant(self, now: float, owner: str, grant: LoanGrant) -> None:
         """What was lent comes; once, of the one that was asked, and for what is left of its time."""
         of, asked_at = self.asking.pop(grant.number, ("", 0.0))
-        ends_at = asked_at + self.terms.life_ms
+        ends_at = asked_at + self.terms.loan_ms
         if of != owner or now >= ends_at:
-            self.figures["late"] += 1
+            self.metrics["late"] += 1
             return
         for one in grant.lent:
             account = self.accounts.get(one.key)
             if account is None:
                 continue
             account.held.setdefault(owner, Held()).add(Lot(ends_at, one.tokens, grant.number))
-            self.figures["borrowed"] += one.tokens
+            self.metrics["borrowed"] += one.tokens
 
-    def potential(self, key: str, now: float) -> float:
+    def usable_tokens(self, key: str, now: float) -> float:
         """Tokens that this instance could use at this moment, for those who check the sum."""
         account = self._known(key, now)
         if account is None:
--- a/notchflow/cluster/holds.py
+++ b/notchflow/cluster/concurrency_limits.py
@@ -2,9 +2,9 @@
 
 As a budget (`budgets.py`), but a place comes back when what it was taken for is over, not by time. An owner
 lends at most half of its part, so that an instance has the other half whatever it hears. A lent place may be
-taken until `life_ms` after it was asked for, by the borrower's clock, and is held for `hold_ms` at the
+taken until `loan_ms` after it was asked for, by the borrower's clock, and is held for `hold_ms` at the
 longest, which is how long a request may be in hand; the owner counts it as out until both have passed, and
-the drift allowed, after it answered, or until the borrower says by the grant's number that it is free again.
+the clock_drift allowed, after it answered, or until the borrower says by the grant's number that it is free again.
 
 Places are alike: what ends frees the borrowed place that the owner takes back first. Of all that were in hand
 when a lot could be taken from for the last time each has ended `hold_ms` later: by then the lot is free. (An
@@ -21,8 +21,8 @@
 from typing import Final
 
 from notchflow.cluster.budgets import NUMBERS, OWNERS_A_TICK, SPENT_A_MESSAGE, Loan, out_of, owners
-from notchflow.cluster.messages import Grant, Lent, Want, Wanted
-from notchflow.cluster.model import Life
+from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.model import Incarnation
 
 FULL: Final = 0.75  # of the places there are: from here on more are asked for
 MORE: Final = 0.5  # of those taken, so many more
@@ -30,17 +30,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SlotTerms:
     """What all instances must be set to alike."""
 
     hold_ms: float
-    life_ms: float = 500.0
-    drift: float = 1 / 200
+    loan_ms: float = 500.0
+    clock_drift: float = 1 / 200
 
     @property
-    def out_ms(self) -> float:
+    def outstanding_ms(self) -> float:
         """For how long an owner counts what it lent as out."""
-        return (self.life_ms + self.hold_ms) * (1 + self.drift)
+        return (self.loan_ms + self.hold_ms) * (1 + self.clock_drift)
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     part: int = 0
     owners: list[str] = field(default_factory=list)
     own: int = 0  # of its part, taken here
-    loans: dict[tuple[str, Life], Loan] = field(default_factory=dict)
+    loans: dict[tuple[str, Incarnation], Loan] = field(default_factory=dict)
     lots: dict[str, list[Lot]] = field(default_factory=dict)  # by owner, by when they end
     done: dict[str, dict[int, float]] = field(default_factory=dict)  # by owner: numbers to tell, until when
     missed: int = 0
@@ -83,21 +83,21 @@
         return self.own + sum(lot.taken for lots in self.lots.values() for lot in lots)
 
 
-class Holds:
+class ConcurrencyLimits:
     """All bounds at one instance."""
 
     def __init__(
-        self, me: str, roster: Iterable[str], terms: Terms, rng: random.Random, started_at: float
+        self, me: str, roster: Iterable[str], terms: SlotTerms, rng: random.Random, started_at: float
     ) -> None:
         self.me, self.roster, self.terms, self.rng = me, tuple(sorted(set(roster))), terms, rng
-        self.opens_at = started_at + terms.out_ms  # till then half of each part may be out of a former life
+        self.opens_at = started_at + terms.outstanding_ms  # till then half of each part may be out of a former life
         self.accounts: dict[str, Account] = {}
         self.known: dict[str, int] = {}
         self.asking: dict[int, tuple[str, float]] = {}
         self.number = rng.randrange(NUMBERS)
-        self.busy: dict[str, None] = {}
+        self.active_keys: dict[str, None] = {}
 
-    def know(self, key: str, limit: int) -> None:
+    def set_limit(self, key: str, limit: int) -> None:
         self.known[key] = limit
         if key in self.accounts:
             self.accounts[key].state(key, self.me, self.roster, limit)
@@ -105,7 +105,7 @@
     def forget(self, key: str) -> None:
         self.known.pop(key, None)
         self.accounts.pop(key, None)
-        self.busy.pop(key, None)
+        self.active_keys.pop(key, None)
 
     def _account(self, key: str) -> Account | None:
         account = self.accounts.get(key)
@@ -121,7 +121,7 @@
         if account is None:
             return 0
         account.asked_at = now
-        self.busy[key] = None
+        self.active_keys[key] = None
         there = self._free(account, now)
         if there < 1:
             account.missed += 1
@@ -164,11 +164,11 @@
             account.own -= 1
 
     # -- between instances
-    def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Want]]:
+    def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, LoanRequest]]:
         """What to ask of whom; and who is told that places are free again."""
         there = sorted(set(present))
-        wanted: dict[str, list[Wanted]] = {}
-        for key in list(self.busy):
+        wanted: dict[str, list[LoanItem]] = {}
+        for key in list(self.active_keys):
             account = self.accounts[key]
             self._clear(account, now)
             need = self._need(account, now)
@@ -176,15 +176,15 @@
             for owner, tokens in self._askable(account, there, need):
                 spent = tuple(account.done.get(owner, ()))[-SPENT_A_MESSAGE:]
                 if tokens or spent:
-                    wanted.setdefault(owner, []).append(Wanted(key, tokens, spent))
+                    wanted.setdefault(owner, []).append(LoanItem(key, tokens, spent))
             if idle and not any(account.done.values()):
-                del self.busy[key]
-        self.asking = {n: asked for n, asked in self.asking.items() if now - asked[1] <= self.terms.life_ms}
+                del self.active_keys[key]
+        self.asking = {n: asked for n, asked in self.asking.items() if now - asked[1] <= self.terms.loan_ms}
         found = []
         for owner, many in wanted.items():
             self.number = self.number % NUMBERS + 1
             self.asking[self.number] = owner, now
-            found.append((owner, Want(self.number, tuple(many[:10]))))
+            found.append((owner, LoanRequest(self.number, tuple(many[:10]))))
         return found
 
     def _clear(self, account: Account, now: float) -> None:
@@ -213,10 +213,10 @@
         each = math.ceil(need / len(drawn)) if drawn else 0
         return [(name, each if name in drawn else 0) for name in others]
 
-    def asked(self, now: float, borrower: str, life: Life, want: Want) -> Grant:
+    def handle_loan_request(self, now: float, borrower: str, life: Incarnation, want: LoanRequest) -> LoanGrant:
         """What is lent of what is asked for; what is said to be free again comes back."""
         lent = []
-        for one in want.wants:
+        for one in want.items:
             account = self._account(one.key)
             if account is None or not account.part:
                 continue
@@ -230,15 +230,15 @@
             places = min(one.tokens, account.part // 2 - out, account.part - account.own - out)
             if now >= self.opens_at and places > 0:
                 account.loans.setdefault((borrower, life), Loan()).lots[want.number] = (
-                    now + self.terms.out_ms,
+                    now + self.terms.outstanding_ms,
                     places,
                 )
                 lent.append(Lent(one.key, places))
-        return Grant(want.number, tuple(lent))
+        return LoanGrant(want.number, tuple(lent))
 
-    def granted(self, now: float, owner: str, grant: Grant) -> None:
+    def handle_loan_grant(self, now: float, owner: str, grant: LoanGrant) -> None:
         of, asked_at = self.asking.pop(grant.number, ("", 0.0))
-        until = asked_at + self.terms.life_ms
+        until = asked_at + self.terms.loan_ms
         if of != owner or now >= until:
             return
         for one in grant.lent:
@@ -250,7 +250,7 @@
                     key=lambda lot: lot.until,
                 )
 
-    def most(self, key: str, now: float) -> int:
+    def usable_slots(self, key: str, now: float) -> int:
         """Places taken here, or that could be, for those who check the sum."""
         account = self._account(key)
         if account is None:
--- a/notchflow/cluster/counts.py
+++ b/notchflow/cluster/fleet_metrics.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from notchflow.cluster.messages import Counted, Counts, Row
-from notchflow.cluster.model import NO_LIFE, Life
+from notchflow.cluster.messages import MetricsAck, MetricsUpdate, MetricsRow
+from notchflow.cluster.model import NO_INCARNATION, Incarnation
 
-FIGURES: Final = (
+TENANT_METRICS: Final = (
     "asked",
     "served",
     "failed",
@@ -29,7 +29,7 @@
     "open",
     "held",
 )
-CLASS_FIGURES: Final = (
+CLASS_METRICS: Final = (
     "fulfilled",
     "throttled",
     "faulted",
@@ -42,17 +42,17 @@
     "open",
     "",
 )
-CLASS: Final = "class/"  # before the name of a class; no tenant's name has the mark
+CLASS_PREFIX: Final = "class/"  # before the name of a class; no tenant's name has the mark
 GAUGES: Final = 2  # the last places of a row: gone with their life
 ROWS_A_MESSAGE: Final = 8
 MESSAGES_A_TICK: Final = 2  # to one member
 TENANTS_MAX: Final = 10_000  # of one instance; more are not told of
 
-Values = tuple[int, ...]
-ZERO: Final[Values] = (0,) * len(FIGURES)
+MetricValues = tuple[int, ...]
+ZERO: Final[MetricValues] = (0,) * len(TENANT_METRICS)
 
 
-def added(a: Values, b: Values) -> Values:
+def added(a: MetricValues, b: MetricValues) -> MetricValues:
     return tuple(x + y for x, y in zip(a, b, strict=True))
 
 
@@ -60,18 +60,18 @@
 class Copy:
     """What is known of one instance's figures: of its present life, and the sum of those before."""
 
-    life: Life = NO_LIFE
+    incarnation: Incarnation = NO_INCARNATION
     version: int = 0  # all changes up to this one have come
     as_of: float = float("-inf")
-    rows: dict[str, Values] = field(default_factory=dict)
-    past: dict[str, Values] = field(default_factory=dict)
+    rows: dict[str, MetricValues] = field(default_factory=dict)
+    past: dict[str, MetricValues] = field(default_factory=dict)
 
-    def turn(self, life: Life) -> None:
+    def turn(self, life: Incarnation) -> None:
         """A new life has begun; of the one before the counters stay."""
         for tenant, values in self.rows.items():
             counters = values[:-GAUGES] + (0,) * GAUGES
             self.past[tenant] = added(self.past.get(tenant, ZERO), counters)
-        self.life, self.version, self.rows = life, 0, {}
+        self.incarnation, self.version, self.rows = life, 0, {}
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,21 +84,21 @@
     missing: tuple[str, ...]
 
 
-class Ledger:
+class FleetMetrics:
     """One instance's own figures, and its copies of the others'."""
 
     def __init__(self, me: str, roster: Iterable[str]) -> None:
         self.me = me
         self.others = [name for name in sorted(set(roster)) if name != me]
-        self.own: dict[str, Values] = {}
+        self.own: dict[str, MetricValues] = {}
         self.stamps: dict[str, int] = {}  # by tenant: the version that changed it last; in that order
         self.version = 0
-        self.acked: dict[str, tuple[Life, int]] = {}
+        self.acked: dict[str, tuple[Incarnation, int]] = {}
         self.copies: dict[str, Copy] = {name: Copy() for name in self.others}
         self.untold = 0
 
     # -- own figures
-    def set(self, tenant: str, values: Values) -> None:
+    def set(self, tenant: str, values: MetricValues) -> None:
         """The figures as they are now."""
         if self.own.get(tenant, ZERO) == values:
             return
@@ -118,7 +118,7 @@
             copy.past.pop(tenant, None)
 
     # -- between instances
-    def tick(self, present: Mapping[str, Life]) -> list[tuple[str, Counts]]:
+    def tick(self, present: Mapping[str, Incarnation]) -> list[tuple[str, MetricsUpdate]]:
         """What members that may be there do not know yet, in the order in which it changed; where they know
         all, a message without rows that says so."""
         found = []
@@ -128,10 +128,10 @@
             found += [(name, message) for message in self._since(since)]
         return found
 
-    def _since(self, since: int) -> list[Counts]:
+    def _since(self, since: int) -> list[MetricsUpdate]:
         """Messages of what is newer than a version: the stamps are in order, the newest last."""
         if since >= self.version:
-            return [Counts(since, self.version, ())]
+            return [MetricsUpdate(since, self.version, ())]
         rows = []
         for tenant in reversed(self.stamps):
             if self.stamps[tenant] <= since:
@@ -142,27 +142,27 @@
         for start in range(0, min(len(rows), ROWS_A_MESSAGE * MESSAGES_A_TICK), ROWS_A_MESSAGE):
             part = rows[start : start + ROWS_A_MESSAGE]
             up_to = part[-1][0] if start + ROWS_A_MESSAGE < len(rows) else self.version
-            messages.append(Counts(since, up_to, tuple(Row(tenant, self.own[tenant]) for _, tenant in part)))
+            messages.append(MetricsUpdate(since, up_to, tuple(MetricsRow(tenant, self.own[tenant]) for _, tenant in part)))
             since = up_to
         return messages
 
-    def heard(self, now: float, sender: str, life: Life, body: Counts) -> Counted | None:
+    def handle_update(self, now: float, sender: str, life: Incarnation, body: MetricsUpdate) -> MetricsAck | None:
         """Figures of another; what is acknowledged. A part whose beginning is missing is not taken: what it
         leaves out comes again."""
         copy = self.copies.get(sender)
-        if copy is None or life < copy.life:
+        if copy is None or life < copy.incarnation:
             return None
-        if life > copy.life:
+        if life > copy.incarnation:
             copy.turn(life)
         if body.since > copy.version:
-            return Counted(copy.version)
+            return MetricsAck(copy.version)
         if body.up_to >= copy.version:
             for row in body.rows:
                 copy.rows[row.tenant] = fitted(row.values)
             copy.version, copy.as_of = body.up_to, now
-        return Counted(copy.version)
+        return MetricsAck(copy.version)
 
-    def told(self, sender: str, life: Life, body: Counted) -> None:
+    def handle_ack(self, sender: str, life: Incarnation, body: MetricsAck) -> None:
         """How far a member has come."""
         held = self.acked.get(sender)
         if held is None or held[0] != life or body.version >= held[1]:
@@ -173,17 +173,17 @@
         """The names of all classes that anybody has counted."""
         copies = self.copies.values()
         keys = {*self.own, *(key for copy in copies for key in (*copy.rows, *copy.past))}
-        return sorted(key.removeprefix(CLASS) for key in keys if key.startswith(CLASS))
+        return sorted(key.removeprefix(CLASS_PREFIX) for key in keys if key.startswith(CLASS_PREFIX))
 
     def total(self, key: str) -> dict[str, int]:
         """The fleet's figures of a tenant, or of a class by its key, by their names."""
         total = self.own.get(key, ZERO)
         for copy in self.copies.values():
             total = added(total, added(copy.rows.get(key, ZERO), copy.past.get(key, ZERO)))
-        names = CLASS_FIGURES if key.startswith(CLASS) else FIGURES
+        names = CLASS_METRICS if key.startswith(CLASS_PREFIX) else TENANT_METRICS
         return {name: n for name, n in zip(names, total, strict=True) if name}
 
-    def reach(self, now: float, left: frozenset[str], fresh_ms: float) -> tuple[float, tuple[str, ...]]:
+    def coverage(self, now: float, left: frozenset[str], fresh_ms: float) -> tuple[float, tuple[str, ...]]:
         """The age of the oldest part of all figures (ms), and who is missing: has not left and was not heard
         for longer than `fresh_ms`. Their last figures are in the sums, what they counted since is not."""
         age, missing = 0.0, []
@@ -199,9 +199,9 @@
 
     def sum(self, now: float, tenant: str, left: frozenset[str], fresh_ms: float) -> Sum:
         """The fleet's figures, with how far they reach."""
-        return Sum(self.total(tenant), *self.reach(now, left, fresh_ms))
+        return Sum(self.total(tenant), *self.coverage(now, left, fresh_ms))
 
 
-def fitted(values: tuple[int, ...]) -> Values:
+def fitted(values: tuple[int, ...]) -> MetricValues:
     """Figures of an older or a newer form, as this one has them."""
-    return (values + ZERO)[: len(FIGURES)]
+    return (values + ZERO)[: len(TENANT_METRICS)]
--- a/notchflow/cluster/count.py
+++ b/notchflow/cluster/fleet_size.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class FleetSize:
     """The number in force. More are taken over after `up_ms` in which there were never fewer than that, fewer
     after `down_ms`. Who hears less than a majority keeps the number: the others serve the same boxes still,
     whether they are heard or not."""
@@ -25,7 +25,7 @@
     wanted: int = 1
     since: float = 0.0
 
-    def look(self, now: float, living: int, standing: Standing) -> bool:
+    def observe(self, now: float, living: int, standing: Standing) -> bool:
         """What is seen now; whether the number in force has changed by it."""
         if standing not in HEARS or living == self.value:
             self.wanted, self.since = self.value, now
--- a/notchflow/cluster/histories.py
+++ b/notchflow/cluster/histories.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any, TypeAlias
 
-Line: TypeAlias = dict[str, Any]
+HistoryLine: TypeAlias = dict[str, Any]
 
 
-def read(path: Path) -> Iterator[Line]:
+def read_lines(path: Path) -> Iterator[HistoryLine]:
     """The lines of a file, its former part before them; a last line that a kill cut off is left out."""
     for part in (path.with_name(path.name + ".1"), path):
         if not part.exists():
@@ -22,18 +22,18 @@
                 continue
 
 
-def merge(paths: Iterable[Path]) -> list[Line]:
+def merge(paths: Iterable[Path]) -> list[HistoryLine]:
     """All lines of all files, by time."""
-    return sorted((line for path in paths for line in read(path)), key=lambda line: int(line["t"]))
+    return sorted((line for path in paths for line in read_lines(path)), key=lambda line: int(line["t"]))
 
 
-def write(path: Path, lines: Iterable[Line]) -> None:
+def write_lines(path: Path, lines: Iterable[HistoryLine]) -> None:
     with path.open("w") as file:
         for line in lines:
             file.write(json.dumps(line, separators=(",", ":")) + "\n")
 
 
-def table(lines: Iterable[Line], most: int = 0) -> list[str]:
+def format_lines(lines: Iterable[HistoryLine], most: int = 0) -> list[str]:
     """As text, one line each, in milliseconds from the first."""
     chosen = list(lines)
     begun = int(chosen[0]["t"]) if chosen else 0
--- a/notchflow/cluster/identity.py
+++ b/notchflow/cluster/identity.py
@@ -11,7 +11,7 @@
 FILE: Final = "identity.json"
 
 
-class IdentityFault(Exception):
+class IdentityError(Exception):
     """The folder is another instance's, or cannot be used; the text says what to do."""
 
 
@@ -20,12 +20,12 @@
     """What a start found: the epoch of its life, and what was odd of the folder (empty: nothing)."""
 
     epoch: int
-    odd: str
+    anomaly: str
 
 
-def take(folder: Path, name: str, wall_ms: int) -> Taken:
+def begin_incarnation(folder: Path, name: str, wall_ms: int) -> Taken:
     """Begins a life: its epoch is above the last one's and, where the folder was lost, above any earlier
-    one's as far as the wall clock goes; if that was set back the fleet corrects it. IdentityFault, OSError.
+    one's as far as the wall clock goes; if that was set back the fleet corrects it. IdentityError, OSError.
     """
     path = folder / FILE
     try:
@@ -33,30 +33,30 @@
         found = os.stat(path)
     except FileNotFoundError:
         text = None
-    last, odd = 0, ""
+    last, anomaly = 0, ""
     if text is None:
-        odd = "new"
+        anomaly = "new"
     else:
         try:
             data = json.loads(text)
             owner, last = str(data["name"]), int(data["epoch"])
             where = int(data["device"]), int(data["inode"])
         except (ValueError, KeyError, TypeError) as error:
-            odd = f"{path} is damaged ({error!r}) and is written anew"
+            anomaly = f"{path} is damaged ({error!r}) and is written anew"
         else:
             if owner != name:
-                raise IdentityFault(
+                raise IdentityError(
                     f"{path}: the folder is {owner!r}'s, and cluster.name is {name!r}; give "
                     "each name a state folder of its own, or remove this file to pass it on"
                 )
             if where != (found.st_dev, found.st_ino):
-                odd = f"{path} was copied or restored; if its origin still runs, the newer has the name"
+                anomaly = f"{path} was copied or restored; if its origin still runs, the newer has the name"
     epoch = max(last + 1, wall_ms)
-    keep(folder, name, epoch)
-    return Taken(epoch, odd)
+    save_epoch(folder, name, epoch)
+    return Taken(epoch, anomaly)
 
 
-def keep(folder: Path, name: str, epoch: int) -> None:
+def save_epoch(folder: Path, name: str, epoch: int) -> None:
     """Makes the epoch durable; what was there stays whole until then. OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     path, fresh = folder / FILE, folder / (FILE + ".new")
@@ -77,17 +77,17 @@
 
 
 def read_secret(path: Path, least: int) -> bytes:
-    """The fleet's secret. IdentityFault where it is missing, short, or not its owner's alone."""
+    """The fleet's secret. IdentityError where it is missing, short, or not its owner's alone."""
     try:
         mode = path.stat().st_mode
         secret = path.read_bytes()
     except OSError as error:
-        raise IdentityFault(
+        raise IdentityError(
             f"is {str(path)!r}, which cannot be read: {error.strerror}; make one: "
             f"head -c 32 /dev/urandom > {path.name} && chmod 600 {path.name}"
         ) from None
     if mode & 0o077:
-        raise IdentityFault(f"is {str(path)!r}, which others may use (mode {mode & 0o777:o}); chmod 600")
+        raise IdentityError(f"is {str(path)!r}, which others may use (mode {mode & 0o777:o}); chmod 600")
     if len(secret) < least:
-        raise IdentityFault(f"is {str(path)!r} with {len(secret)} bytes; at least {least}")
+        raise IdentityError(f"is {str(path)!r} with {len(secret)} bytes; at least {least}")
     return secret
--- a/notchflow/cluster/members.py
+++ b/notchflow/cluster/members.py
@@ -13,7 +13,7 @@
 
 from notchflow.cluster.actions import Action, Exchange
 from notchflow.cluster.contacts import Link
-from notchflow.cluster.knowledge import Knowledge
+from notchflow.cluster.updates import UpdateProcessor
 from notchflow.cluster.messages import (
     Ack,
     Ask,
@@ -27,8 +27,8 @@
 )
 from notchflow.cluster.model import Record, Standing, State
 from notchflow.cluster.probes import Probe
-from notchflow.cluster.standpoint import Sender
-from notchflow.cluster.tenure import Hold
+from notchflow.cluster.local_state import Sender
+from notchflow.cluster.name_claim import ClaimState
 
 LEAVE_TOLD: Final = 32  # members that are told of a leave directly
 SEEDS_AT_ONCE: Final = 3
@@ -37,7 +37,7 @@
 LOOKS: Final = 20  # at links and standing in a contact bound
 
 
-class Members(Knowledge):
+class Members(UpdateProcessor):
     """One instance's part in the fleet."""
 
     # -- events
@@ -45,26 +45,26 @@
         """Begins: tells seeds of itself and asks what they know of it."""
         self.began = now
         self.view.put(now, self.record)
-        self._tell("start", life=str(self.tenure.life))
+        self._tell("start", life=str(self.name_claim.incarnation))
         if not self.others:
             self._joined(now)
             return self._done(now)
         self.join_at, self.join_by = now, now + self.settings.join_ms
-        self.probe_at = now + self.rng.random() * self.settings.spacing(self.size)
+        self.probe_at = now + self.rng.random() * self.settings.probe_interval_ms(self.roster_size)
         return self.tick(now)
 
     def leave(self, now: float) -> list[Action]:
         """Tells the others, and is silent from now on."""
-        if self.tenure.hold is Hold.LEFT:
+        if self.name_claim.state is ClaimState.LEFT:
             return []
-        contested = self.tenure.hold is Hold.CONTESTED
-        self.tenure.hold = Hold.LEFT
+        contested = self.name_claim.state is ClaimState.CONTESTED
+        self.name_claim.state = ClaimState.LEFT
         self.probe_at = self.join_at = self.join_by = self.flush_at = math.inf
         self.probes.forget()
         self.suspicions.clear()
         if not contested:
             mine = self.record
-            gone = Record(self.name, mine.life, mine.revision, State.LEFT, self.address, self.version)
+            gone = Record(self.name, mine.incarnation, mine.revision, State.LEFT, self.address, self.version)
             self.view.put(now, gone)
             present = self.view.present()
             for name in self.rng.sample(present, min(LEAVE_TOLD, len(present))):
@@ -74,7 +74,7 @@
 
     def tick(self, now: float) -> list[Action]:
         """Whatever is due by now."""
-        if self.tenure.hold is Hold.LEFT:
+        if self.name_claim.state is ClaimState.LEFT:
             return []
         self._awake(now)
         if now >= self.join_by:
@@ -89,9 +89,9 @@
             self._flush()
         return self._done(now)
 
-    def received(self, now: float, sender: Sender, body: Message) -> list[Action]:
+    def handle_message(self, now: float, sender: Sender, body: Message) -> list[Action]:
         """A message that was authentic and came for the first time."""
-        if self.tenure.hold is Hold.LEFT:
+        if self.name_claim.state is ClaimState.LEFT:
             return []
         self._awake(now)
         if self._known(now, sender, body):
@@ -121,28 +121,28 @@
                     pass  # comes over TCP alone
         return self._done(now)
 
-    def asked(self, now: float, sender: Sender, body: Sync) -> tuple[Message | None, list[Action]]:
+    def handle_sync(self, now: float, sender: Sender, body: Sync) -> tuple[Message | None, list[Action]]:
         """A whole view that came over TCP: the answer to write, and what else follows."""
-        if self.tenure.hold is Hold.LEFT:
+        if self.name_claim.state is ClaimState.LEFT:
             return None, []
         self._awake(now)
         if sender.name not in self.view.names:
             self._disagree("stranger", sender.name)
             return Denial("not on the roster"), self._done(now)
-        if sender.name == self.name and sender.life == self.tenure.life:
+        if sender.name == self.name and sender.incarnation == self.name_claim.incarnation:
             self._twin(now)
         older = self._outlived(sender)
         if older:
-            self._disagree("two-instances", sender.name, value=str(sender.life), older=str(sender.life))
+            self._disagree("two-instances", sender.name, value=str(sender.incarnation), older=str(sender.incarnation))
         else:
             self.contacts.heard(sender.name, now)
             self._rosters(sender.name, body.roster)
             self._records(now, body.records)
         return Sync(self._whole(), True, self.roster_digest), self._done(now)
 
-    def answered(self, now: float, sender: Sender, body: Message) -> list[Action]:
+    def handle_sync_reply(self, now: float, sender: Sender, body: Message) -> list[Action]:
         """What an exchange was answered with."""
-        if self.tenure.hold is Hold.LEFT:
+        if self.name_claim.state is ClaimState.LEFT:
             return []
         self._awake(now)
         if isinstance(body, Denial):
@@ -158,22 +158,22 @@
     # -- time
     def _awake(self, now: float) -> None:
         """Sleep is found at the first event after it, before any judgement: nobody is blamed for it."""
-        late = now - self.expected
+        late = now - self.next_timer_at
         if late < self.settings.stall_ms:
             return
         self.slept_ms += late
         for suspicion in self.suspicions.values():
             suspicion.since += late
         dropped = self.probes.forget()
-        self.awareness.change(1 + int(late / self.settings.timeout_ms))
+        self.local_health.change(1 + int(late / self.settings.probe_timeout_ms))
         self.probe_at = min(self.probe_at, now) if self.probe_at < math.inf else self.probe_at
-        self.expected = now
+        self.next_timer_at = now
         self._tell("slept", ms=round(late), probes=dropped)
 
     # -- probing
     def _probe_next(self, now: float) -> None:
-        self.probe_at = now + self.settings.spacing(self.size)
-        if self.tenure.hold is Hold.CONTESTED:
+        self.probe_at = now + self.settings.probe_interval_ms(self.roster_size)
+        if self.name_claim.state is ClaimState.CONTESTED:
             return  # others know this name by another life: they would not answer
         target = self.probes.round.next(self.left)
         if target is not None and not self.probes.out_for(target):
@@ -203,7 +203,7 @@
                 self._learn(
                     now,
                     Update(
-                        Record(name, record.life, record.revision, State.DEAD, record.address, record.version)
+                        Record(name, record.incarnation, record.revision, State.DEAD, record.address, record.version)
                     ),
                 )
 
@@ -218,22 +218,22 @@
         """Neither answered this instance nor others in its place."""
         if probe.through:
             return
-        self.awareness.change(1 if probe.helpers and probe.nacks < probe.helpers else 0)
+        self.local_health.change(1 if probe.helpers and probe.nacks < probe.helpers else 0)
         if not probe.helpers:
-            self.awareness.change(1)
+            self.local_health.change(1)
         held = self.view.get(probe.target)
-        if held is None or not held.present or held.life != probe.life:
+        if held is None or not held.present or held.incarnation != probe.incarnation:
             return  # nobody, or another than was asked
         self._accuse(now, held)
 
     def _accuse(self, now: float, held: Record) -> None:
-        suspect = Record(held.name, held.life, held.revision, State.SUSPECT, held.address, held.version)
+        suspect = Record(held.name, held.incarnation, held.revision, State.SUSPECT, held.address, held.version)
         self._learn(now, Update(suspect, self.name))
 
     def _errand(self, now: float, asker: str, body: Ask) -> None:
-        if body.target not in self.contacts.of:
+        if body.target not in self.contacts.by_name:
             return
-        number = self.probes.errand(asker, body.number, body.target, now + ERRAND * self.settings.timeout_ms)
+        number = self.probes.errand(asker, body.number, body.target, now + ERRAND * self.settings.probe_timeout_ms)
         self._send(
             body.target, Ping(number, self.view.digest, self.roster_digest, self._news_for(body.target))
         )
@@ -256,9 +256,9 @@
             self._disagree("two-names", probe.target, answers_as=sender.name)
             return
         del self.probes.out[body.number]
-        self.awareness.change(-1)
+        self.local_health.change(-1)
         self.contacts.acked(sender.name, probe.asked_at)
-        self.told.pop(f"two-names {sender.name}", None)
+        self.disagreements.pop(f"two-names {sender.name}", None)
         self._joined(now)
 
     # -- news
@@ -280,7 +280,7 @@
         """Asks seeds, and where these give nothing members, for what they hold: at a start, and whenever
         nobody answers."""
         self.join_at = math.inf
-        if self.tenure.hold is Hold.HOLDING and self.contacts.reached(now):
+        if self.name_claim.state is ClaimState.HOLDING and self.contacts.reached(now):
             return
         self.join_at = now + self.settings.retry_ms
         named = [n for n in self.others if n not in self.left]
@@ -309,13 +309,13 @@
                 self._reply(sender.name, Denial("not on the roster"))
             return False
         if sender.name == self.name:
-            if sender.life == self.tenure.life:
+            if sender.incarnation == self.name_claim.incarnation:
                 self._twin(now)
-            elif sender.life > self.tenure.life:
-                self._learn(now, Update(Record(self.name, sender.life)))
+            elif sender.incarnation > self.name_claim.incarnation:
+                self._learn(now, Update(Record(self.name, sender.incarnation)))
             else:
                 self._reply(self.name, Gossip((Update(self.record),)))
-                self._disagree("two-instances", self.name, value=str(sender.life), older=str(sender.life))
+                self._disagree("two-instances", self.name, value=str(sender.incarnation), older=str(sender.incarnation))
             return False
         if self._outlived(sender):
             held = self.view.get(sender.name)
@@ -324,16 +324,16 @@
                 self._disagree(
                     "two-instances",
                     sender.name,
-                    value=str(sender.life),
-                    older=str(sender.life),
-                    newer=str(held.life),
+                    value=str(sender.incarnation),
+                    older=str(sender.incarnation),
+                    newer=str(held.incarnation),
                 )
             self._reply(sender.name, Gossip((Update(held),)))
             return False
         held = self.view.get(sender.name)
-        if held is None or sender.life > held.life:  # its own record comes with its next news or exchange
-            self._learn(now, Update(Record(sender.name, sender.life)))
-        return self.tenure.hold is not Hold.CONTESTED or isinstance(body, Gossip)
+        if held is None or sender.incarnation > held.incarnation:  # its own record comes with its next news or exchange
+            self._learn(now, Update(Record(sender.name, sender.incarnation)))
+        return self.name_claim.state is not ClaimState.CONTESTED or isinstance(body, Gossip)
 
     def heeds(self, sender: Sender) -> bool:
         """Whether what a sender says beside membership is taken: from the present life of another member, by
@@ -341,7 +341,7 @@
         return (
             sender.name != self.name
             and sender.name in self.view.names
-            and self.tenure.takes
+            and self.name_claim.accepts_requests
             and not self._outlived(sender)
         )
 
@@ -366,7 +366,7 @@
 
     # -- small things
     def _joined(self, now: float) -> None:
-        if self.tenure.joined():
+        if self.name_claim.joined():
             self.join_by = math.inf
             self._spread(now, Update(self.record))
-            self._tell("joined", members=self.living())
+            self._tell("joined", members=self.present_count())
--- a/notchflow/cluster/messages.py
+++ b/notchflow/cluster/messages.py
@@ -25,14 +25,14 @@
     Vote,
     Voted,
 )
-from notchflow.cluster.model import NAMES_MAX, Life, Name, Number, Record, Text
+from notchflow.cluster.model import NAMES_MAX, Incarnation, Name, Number, Record, Text
 
 VERSION: Final = 1
 DATAGRAM_MAX: Final = 1_200
 FRAME_MAX: Final = 1 << 20
 TAG: Final = 16
 MIN: Final = 1 + 8 + TAG
-SECRET_MIN: Final = 32
+SECRET_BYTES_MIN: Final = 32
 Digest = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
@@ -99,7 +99,7 @@
     reason: Text
 
 
-class Wanted(msgspec.Struct, frozen=True, array_like=True):
+class LoanItem(msgspec.Struct, frozen=True, array_like=True):
     """Tokens of one budget that are asked for, and the numbers of grants of it that are used up."""
 
     key: Text
@@ -107,11 +107,11 @@
     spent: Annotated[tuple[Number, ...], msgspec.Meta(max_length=16)] = ()
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Lend me these. Answered by a Grant of the same number."""
+class LoanRequest(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """Lend me these. Answered by a LoanGrant of the same number."""
 
     number: Number
-    wants: Annotated[tuple[Wanted, ...], msgspec.Meta(max_length=64)]
+    items: Annotated[tuple[LoanItem, ...], msgspec.Meta(max_length=64)]
     kind: Annotated[int, msgspec.Meta(ge=0, le=255)] = 0  # of budget
 
 
@@ -120,7 +120,7 @@
     tokens: Annotated[int, msgspec.Meta(ge=1, le=1 << 31)]
 
 
-class Grant(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class LoanGrant(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """These are yours, for the time that was left when you asked."""
 
     number: Number
@@ -128,22 +128,22 @@
     kind: Annotated[int, msgspec.Meta(ge=0, le=255)] = 0
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class MetricsRow(msgspec.Struct, frozen=True, array_like=True):
     """A tenant's figures at one instance."""
 
     tenant: Text
     values: Annotated[tuple[Number, ...], msgspec.Meta(max_length=64)]
 
 
-class Counts(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """What has changed of my figures after one version and up to another. Answered by Counted."""
+class MetricsUpdate(msgspec.Struct, frozen=True, array_like=True, tag=10):
+    """What has changed of my figures after one version and up to another. Answered by MetricsAck."""
 
     since: Number
     up_to: Number
-    rows: Annotated[tuple[Row, ...], msgspec.Meta(max_length=64)]
+    rows: Annotated[tuple[MetricsRow, ...], msgspec.Meta(max_length=64)]
 
 
-class Counted(msgspec.Struct, frozen=True, array_like=True, tag=11):
+class MetricsAck(msgspec.Struct, frozen=True, array_like=True, tag=11):
     """I have all of yours up to this version."""
 
     version: Number
@@ -157,10 +157,10 @@
     | Gossip
     | Sync
     | Denial
-    | Want
-    | Grant
-    | Counts
-    | Counted
+    | LoanRequest
+    | LoanGrant
+    | MetricsUpdate
+    | MetricsAck
     | Vote
     | Voted
     | Append
@@ -178,7 +178,7 @@
     """Who says it to whom, in which life, and as the how-manieth of it."""
 
     name: Name
-    life: Life
+    incarnation: Incarnation
     counter: Number
     to: Text
     body: Message
@@ -204,13 +204,13 @@
     return hmac.digest(secret, data, hashlib.sha256)[:TAG]
 
 
-def seal(secret: bytes, envelope: Envelope) -> bytes:
+def encode_message(secret: bytes, envelope: Envelope) -> bytes:
     """The bytes of a message."""
     data = bytes((VERSION,)) + _encode(envelope)
     return data + _code(secret, data)
 
 
-def unseal(secret: bytes, data: bytes) -> Envelope:
+def decode_message(secret: bytes, data: bytes) -> Envelope:
     """The message of bytes. Foreign: cut off, changed, or under another secret; UnknownVersion; Malformed."""
     if len(data) < MIN:
         raise Foreign(f"{len(data)} bytes")
--- a/notchflow/cluster/model.py
+++ b/notchflow/cluster/model.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-NAME: Final = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
+NAME_PATTERN: Final = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
 NAMES_MAX: Final = 4_096
-Name = Annotated[str, msgspec.Meta(pattern=NAME)]
+Name = Annotated[str, msgspec.Meta(pattern=NAME_PATTERN)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Text = Annotated[str, msgspec.Meta(max_length=64)]
 Address = Annotated[str, msgspec.Meta(max_length=255)]
@@ -38,7 +38,7 @@
     ALONE = "alone"
 
 
-class Life(NamedTuple):
+class Incarnation(NamedTuple):
     """One life of an instance: what it counted up to at its start, and a number drawn then."""
 
     epoch: Number
@@ -48,14 +48,14 @@
         return f"{self.epoch}.{self.nonce:x}"
 
 
-NO_LIFE: Final = Life(0, 0)
+NO_INCARNATION: Final = Incarnation(0, 0)
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
     """What is said of a member: one state of one revision of one life."""
 
     name: Name
-    life: Life
+    incarnation: Incarnation
     revision: Number = 0
     state: State = State.ALIVE
     address: Address = ""
@@ -66,11 +66,11 @@
         """Whether it may be there: neither dead nor left."""
         return self.state <= State.SUSPECT
 
-    def rank(self) -> tuple[Life, bool, int, State, str, str]:
+    def rank(self) -> tuple[Incarnation, bool, int, State, str, str]:
         """A total order, so that any two instances that have seen the same records hold the same one. A later
         life covers all of an earlier one; leaving is the last word on a life; within it a member's own newer
         revision covers what was said of the one before."""
-        return (self.life, self.state is State.LEFT, self.revision, self.state, self.address, self.version)
+        return (self.incarnation, self.state is State.LEFT, self.revision, self.state, self.address, self.version)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,55 +79,55 @@
     shown to operators is what the code goes by."""
 
     contact_ms: float = 2_000.0  # a round trip is worth this long, unless the roster is too large for it
-    timeout_ms: float = 200.0  # a direct probe has so long, then others are asked for as long again
+    probe_timeout_ms: float = 200.0  # a direct probe has so long, then others are asked for as long again
     suspicion_ms: float = 1_000.0  # who is suspected has this long at least to refute it
     helpers: int = 3  # asked to probe in one's place
     confirmations: int = 3  # other accusers after which the shortest suspicion is enough
-    suspicion_spread: float = 3.0  # the longest suspicion, of the shortest
+    suspicion_max_factor: float = 3.0  # the longest suspicion, of the shortest
     fanout: int = 3  # members that are told news at once
     flush_ms: float = 20.0  # news of so long go together
     repeats: int = 4  # times log10(members) that news are passed on
     stall_ms: float = 100.0  # a timer that fires later than this was slept through
-    awareness_max: int = 8
+    local_health_max: int = 8
     join_ms: float = 1_000.0  # how long a start waits for somebody to know it
     retry_ms: float = 500.0  # between tries at seeds
     quiet_ms: float = 500.0  # views that differ while nothing has changed for so long are exchanged whole
     spacing_ms: float = 50.0  # at least this long between two probes, however large the roster
     spacing_max_ms: float = 200.0  # and at most this long, however small
 
-    def spacing(self, roster: int) -> float:
+    def probe_interval_ms(self, roster: int) -> float:
         """Milliseconds between two probes of an instance: each other one is asked three times in the contact
         bound, within these limits."""
         return min(max(self.contact_ms / 3 / max(roster - 1, 1), self.spacing_ms), self.spacing_max_ms)
 
-    def contact(self, roster: int) -> float:
+    def contact_bound_ms(self, roster: int) -> float:
         """For how long an acknowledged round trip counts: three rounds through the roster."""
-        return max(self.contact_ms, 3 * (roster - 1) * self.spacing(roster))
+        return max(self.contact_ms, 3 * (roster - 1) * self.probe_interval_ms(roster))
 
-    def suspicion(self, roster: int) -> tuple[float, float]:
+    def suspicion_bounds_ms(self, roster: int) -> tuple[float, float]:
         """The shortest and the longest suspicion; news take longer to go round a larger fleet."""
         shortest = self.suspicion_ms * max(1.0, math.log10(max(roster, 1)))
-        return shortest, shortest * self.suspicion_spread
+        return shortest, shortest * self.suspicion_max_factor
 
-    def detection(self, roster: int) -> float:
+    def detection_bound_ms(self, roster: int) -> float:
         """By when the death of one among living is known to all, but for one case in 1,000 (the seventh power
         of what is left unprobed in one spacing, 1/e): probe, failure of it, suspicion, news."""
         if roster < 2:
             return 0.0
-        shortest, _ = self.suspicion(roster)
-        return 7 * self.spacing(roster) + 2 * self.timeout_ms + shortest + self.gossip(roster)
+        shortest, _ = self.suspicion_bounds_ms(roster)
+        return 7 * self.probe_interval_ms(roster) + 2 * self.probe_timeout_ms + shortest + self.gossip_bound_ms(roster)
 
-    def gossip(self, roster: int) -> float:
+    def gossip_bound_ms(self, roster: int) -> float:
         """News go round in about so long: each who hears tells `fanout` others after `flush_ms`."""
         hops = math.log(max(roster, 2)) / math.log(self.fanout + 1) + 2
-        return hops * (self.flush_ms + self.timeout_ms / 4)
+        return hops * (self.flush_ms + self.probe_timeout_ms / 4)
 
-    def one_name(self, roster: int) -> float:
+    def one_name_bound_ms(self, roster: int) -> float:
         """For how long two instances of one name may both take requests, once both are linked with a third:
         the older one is answered by nobody, asks the fleet, and is told."""
-        return self.contact(roster) + 2 * self.retry_ms + self.timeout_ms
+        return self.contact_bound_ms(roster) + 2 * self.retry_ms + self.probe_timeout_ms
 
-    def heal(self, roster: int) -> float:
+    def heal_bound_ms(self, roster: int) -> float:
         """By when all views are equal after the links are whole: one round of probes over those held dead,
         refutation, news, and two exchanges one after the other for what was lost of them."""
-        return self.contact(roster) / 3 + 2 * self.gossip(roster) + 2 * (self.quiet_ms + self.timeout_ms)
+        return self.contact_bound_ms(roster) / 3 + 2 * self.gossip_bound_ms(roster) + 2 * (self.quiet_ms + self.probe_timeout_ms)
--- a/notchflow/cluster/tenure.py
+++ b/notchflow/cluster/name_claim.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from enum import Enum
 
-from notchflow.cluster.model import Life, Record
+from notchflow.cluster.model import Incarnation, Record
 
 
-class Hold(Enum):
+class ClaimState(Enum):
     """What an instance has of its name."""
 
     JOINING = "joining"  # nobody was heard yet: a newer life of this name may be known
@@ -17,40 +17,40 @@
     LEFT = "left"
 
 
-class Tenure:
+class NameClaim:
     """The own life. `draw` gives a fresh number for a life."""
 
-    def __init__(self, life: Life, draw: Callable[[], int]) -> None:
-        self.life, self.draw = life, draw
-        self.hold = Hold.JOINING
-        self.rival: Life | None = None
+    def __init__(self, life: Incarnation, draw: Callable[[], int]) -> None:
+        self.incarnation, self.draw = life, draw
+        self.state = ClaimState.JOINING
+        self.rival: Incarnation | None = None
 
     @property
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether requests may be taken."""
-        return self.hold is Hold.HOLDING
+        return self.state is ClaimState.HOLDING
 
     def joined(self) -> bool:
         """Somebody was heard, or nobody is to be waited for; whether that is new."""
-        if self.hold is not Hold.JOINING:
+        if self.state is not ClaimState.JOINING:
             return False
-        self.hold = Hold.HOLDING
+        self.state = ClaimState.HOLDING
         return True
 
-    def rise(self, above: Life) -> None:
+    def rise(self, above: Incarnation) -> None:
         """Begins a life that is newer than one that is known."""
-        self.life = Life(max(above.epoch, self.life.epoch) + 1, self.draw())
+        self.incarnation = Incarnation(max(above.epoch, self.incarnation.epoch) + 1, self.draw())
         self.rival = None
-        if self.hold is Hold.CONTESTED:
-            self.hold = Hold.HOLDING
+        if self.state is ClaimState.CONTESTED:
+            self.state = ClaimState.HOLDING
 
     def hear(self, record: Record) -> bool:
         """A record of the own name with a newer life. True: this instance has risen over it, as it has not
         begun to serve yet or as that one is gone. False: that one has the name."""
-        if self.hold is Hold.LEFT:
+        if self.state is ClaimState.LEFT:
             return False
-        if self.hold is Hold.JOINING or not record.present:
-            self.rise(record.life)
+        if self.state is ClaimState.JOINING or not record.present:
+            self.rise(record.incarnation)
             return True
-        self.hold, self.rival = Hold.CONTESTED, record.life
+        self.state, self.rival = ClaimState.CONTESTED, record.incarnation
         return False
--- a/notchflow/cluster/probes.py
+++ b/notchflow/cluster/probes.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from notchflow.cluster.model import NO_LIFE, Life
+from notchflow.cluster.model import NO_INCARNATION, Incarnation
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
     """One probe of one member: direct first, through others after `ask_at`, failed at `due`."""
 
     target: str
-    life: Life  # of the target, as it was held when asked
+    incarnation: Incarnation  # of the target, as it was held when asked
     asked_at: float
     ask_at: float
     due: float
@@ -66,9 +66,9 @@
         self.errands: dict[int, Errand] = {}
         self.number = rng.getrandbits(32)
 
-    def begin(self, target: str, life: Life | None, now: float, timeout: float, due: float) -> int:
+    def begin(self, target: str, life: Incarnation | None, now: float, timeout: float, due: float) -> int:
         self.number += 1
-        self.out[self.number] = Probe(target, life or NO_LIFE, now, now + timeout, due)
+        self.out[self.number] = Probe(target, life or NO_INCARNATION, now, now + timeout, due)
         return self.number
 
     def errand(self, asker: str, number: int, target: str, due: float) -> int:
--- a/notchflow/cluster/suspicion.py
+++ b/notchflow/cluster/suspicion.py
@@ -40,7 +40,7 @@
         return True
 
 
-class Awareness:
+class LocalHealth:
     """How slow this instance is itself: 0 is well. Timeouts are stretched by one and this."""
 
     __slots__ = ("score", "most")
--- a/notchflow/cluster/edge.py
+++ b/notchflow/cluster/transport.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, Final
 
-from notchflow.cluster.actions import Action, Datagram, Exchange, Keep, Tell
+from notchflow.cluster.actions import Action, Datagram, Exchange, PersistIncarnation, MembershipEvent
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import (
     DATAGRAM_MAX,
@@ -31,12 +31,12 @@
     Sync,
     UnknownVersion,
     Window,
-    seal,
-    unseal,
+    encode_message,
+    decode_message,
 )
-from notchflow.cluster.model import Life
-from notchflow.cluster.places import Book, Place, family, place
-from notchflow.cluster.standpoint import Sender
+from notchflow.cluster.model import Incarnation
+from notchflow.cluster.addresses import AddressBook, Endpoint, address_family, parse_numeric_address
+from notchflow.cluster.local_state import Sender
 from notchflow.net.node_list import parse_address
 
 log = logging.getLogger(__name__)
@@ -51,7 +51,7 @@
 LENGTH: Final = struct.Struct("!I")
 
 
-class Edge:
+class ClusterTransport:
     """The sockets of one instance, and the core behind them."""
 
     def __init__(
@@ -61,16 +61,16 @@
         secret: bytes,
         listen: str,
         book: Mapping[str, str],
-        keep: Callable[[Life], None],
-        tell: Callable[[Tell], None],
+        keep: Callable[[Incarnation], None],
+        tell: Callable[[MembershipEvent], None],
     ) -> None:
         self.loop, self.core, self.secret = loop, core, secret
         self.listen = parse_address(listen)
-        self.book = Book(book)
+        self.book = AddressBook(book)
         self.keep, self.tell = keep, tell
         self.counter = 0
-        self.windows: dict[str, tuple[Life, Window]] = {}
-        self.figures: Counter[str] = Counter()
+        self.windows: dict[str, tuple[Incarnation, Window]] = {}
+        self.metrics: Counter[str] = Counter()
         self.sources: dict[str, str] = {}
         self.udp: socket.socket | None = None
         self.tcp: socket.socket | None = None
@@ -85,7 +85,7 @@
     # -- life
     def bind(self) -> None:
         """Takes both sockets, before anything else listens. OSError: the address is taken."""
-        kind = family(self.listen[0])
+        kind = address_family(self.listen[0])
         self.tcp = socket.create_server(self.listen, family=kind, backlog=64)
         try:
             self.udp = socket.socket(kind, socket.SOCK_DGRAM)
@@ -134,13 +134,13 @@
                         self._send(at, name, body)
                 case Exchange(name, address, body):
                     self._open(name, address, body)
-                case Keep(life):
+                case PersistIncarnation(life):
                     self.keep(life)
-                case Tell():
+                case MembershipEvent():
                     self.tell(action)
         self._arm()
 
-    def _answer(self, actions: Sequence[Action], source: Place) -> None:
+    def _answer(self, actions: Sequence[Action], source: Endpoint) -> None:
         """As `_do`, where a datagram from a place led to it: what answers it goes back there, unless the book
         says where its sender is reached."""
         for action in actions:
@@ -151,7 +151,7 @@
         self._arm()
 
     def _arm(self) -> None:
-        due = self.core.expected
+        due = self.core.next_timer_at
         if due == self.armed or self.closed:
             return
         if self.timer is not None:
@@ -179,42 +179,42 @@
 
     def _sealed(self, to: str, body: Message) -> bytes:
         self.counter += 1
-        life = self.core.tenure.life
-        return seal(self.secret, Envelope(self.core.name, life, self.counter, to, body))
+        life = self.core.name_claim.incarnation
+        return encode_message(self.secret, Envelope(self.core.name, life, self.counter, to, body))
 
-    def _send(self, at: Place, to: str, body: Message) -> None:
+    def _send(self, at: Endpoint, to: str, body: Message) -> None:
         data = self._sealed(to, body)
         if len(data) > DATAGRAM_MAX:
             self._frame(at, data)
             return
-        self.figures["datagrams_out"] += 1
-        self.figures["bytes_out"] += len(data)
+        self.metrics["datagrams_out"] += 1
+        self.metrics["bytes_out"] += len(data)
         try:
             if self.udp is not None:
                 self.udp.sendto(data, at)
         except OSError as error:  # the kernel's queue is full, or nobody is there: as if it was lost
-            self.figures["unsent"] += 1
+            self.metrics["unsent"] += 1
             if error.errno not in (errno.EAGAIN, errno.ECONNREFUSED, errno.ENOBUFS):
                 log.debug("not sent: %s", error)
 
-    def _frame(self, at: Place, data: bytes) -> None:
+    def _frame(self, at: Endpoint, data: bytes) -> None:
         """What is too long for a datagram goes by a connection of its own; it may be lost as well."""
         if self.framing >= FRAMES_MAX or len(data) > FRAME_MAX:
-            self.figures["too_long"] += 1
+            self.metrics["too_long"] += 1
             return
         self.framing += 1
         self._spawn(self._send_frame(at, data))
 
-    async def _send_frame(self, at: Place, data: bytes) -> None:
-        sock = socket.socket(family(at[0]), socket.SOCK_STREAM)
+    async def _send_frame(self, at: Endpoint, data: bytes) -> None:
+        sock = socket.socket(address_family(at[0]), socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
             async with asyncio.timeout(EXCHANGE_S):
                 await self.loop.sock_connect(sock, at)
                 await self._write(sock, data)
-                self.figures["frames_out"] += 1
+                self.metrics["frames_out"] += 1
         except (OSError, TimeoutError):
-            self.figures["frames_failed"] += 1
+            self.metrics["frames_failed"] += 1
         finally:
             self.framing -= 1
             sock.close()
@@ -230,13 +230,13 @@
                 return
             except OSError:  # an earlier datagram of ours met nobody
                 continue
-            self.figures["datagrams_in"] += 1
-            self.figures["bytes_in"] += len(data)
+            self.metrics["datagrams_in"] += 1
+            self.metrics["bytes_in"] += len(data)
             self._take((source[0], source[1]), data)
 
-    def _take(self, source: Place, data: bytes) -> None:
+    def _take(self, source: Endpoint, data: bytes) -> None:
         try:
-            envelope = unseal(self.secret, data)
+            envelope = decode_message(self.secret, data)
         except UnknownVersion as error:
             if self._odd(source, "version", f"speaks version {error}, and this one up to {VERSION}"):
                 self._send(source, "", Denial(f"newest version known: {VERSION}"))
@@ -245,14 +245,14 @@
             self._odd(source, "foreign" if isinstance(error, Foreign) else "malformed", str(error))
             return
         if self._fresh(envelope, source):
-            sender = Sender(envelope.name, envelope.life)
+            sender = Sender(envelope.name, envelope.incarnation)
             handler = self.handlers.get(type(envelope.body))
             if handler is not None:
                 self._handle(handler, sender, envelope.body, source)
                 return
-            actions = self.core.received(self.now(), sender, envelope.body)
+            actions = self.core.handle_message(self.now(), sender, envelope.body)
             record = self.core.view.get(sender.name)
-            if record is not None and record.life == sender.life:
+            if record is not None and record.incarnation == sender.incarnation:
                 self.book.heard(sender.name, record.address, source)
             self._answer(actions, source)
 
@@ -261,7 +261,7 @@
         handler: Callable[[float, Sender, Message], Message | None],
         sender: Sender,
         body: Message,
-        source: Place | None,
+        source: Endpoint | None,
     ) -> None:
         """`source`: where a datagram came from; what came over a connection is answered where its sender is
         known to be."""
@@ -281,38 +281,38 @@
         if at is not None:
             self._send(at, name, body)
 
-    def _fresh(self, envelope: Envelope, source: Place) -> bool:
+    def _fresh(self, envelope: Envelope, source: Endpoint) -> bool:
         """Whether a message comes for the first time, and was meant for this instance."""
         if envelope.to not in ("", self.core.name):
             if self._odd(source, "misled", f"{envelope.name} takes this address for {envelope.to}'s"):
                 self._send(source, "", Denial(f"this is {self.core.name}, not {envelope.to}"[:64]))
             return False
-        if (envelope.name, envelope.life) == (
+        if (envelope.name, envelope.incarnation) == (
             self.core.name,
-            self.core.tenure.life,
+            self.core.name_claim.incarnation,
         ) and envelope.counter <= self.counter:
-            self.figures["own"] += 1  # sent by this very instance: an address of its own among the seeds
+            self.metrics["own"] += 1  # sent by this very instance: an address of its own among the seeds
             return False
         held = self.windows.get(envelope.name)
-        if held is None or held[0] < envelope.life:
+        if held is None or held[0] < envelope.incarnation:
             if held is None and envelope.name not in self.core.view.names:
                 return True  # answered with a denial; nothing is kept of it
-            held = self.windows[envelope.name] = envelope.life, Window()
-        elif held[0] > envelope.life:
+            held = self.windows[envelope.name] = envelope.incarnation, Window()
+        elif held[0] > envelope.incarnation:
             return True  # a former life: the core tells it so, and takes nothing of it
         if held[1].fresh(envelope.counter):
             return True
-        self.figures["replayed"] += 1
+        self.metrics["replayed"] += 1
         return False
 
-    def _odd(self, source: Place, kind: str, why: str) -> bool:
+    def _odd(self, source: Endpoint, kind: str, why: str) -> bool:
         """Counts what cannot be used, and tells of each place once; whether this was the first time."""
-        self.figures[kind] += 1
+        self.metrics[kind] += 1
         where = "{}:{}".format(*source)
         if self.sources.get(where) == kind or len(self.sources) >= SOURCES_MAX:
             return False
         self.sources[where] = kind
-        self.tell(Tell("disagree", where, {"kind": kind, "why": why}))
+        self.tell(MembershipEvent("disagree", where, {"kind": kind, "why": why}))
         return True
 
     # -- whole views
@@ -326,7 +326,7 @@
                 return
             sock.setblocking(False)
             if self.serving >= SERVED_MAX:
-                self.figures["exchanges_refused"] += 1
+                self.metrics["exchanges_refused"] += 1
                 sock.close()
                 continue
             self.serving += 1
@@ -337,60 +337,60 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _serve(self, sock: socket.socket, source: Place) -> None:
+    async def _serve(self, sock: socket.socket, source: Endpoint) -> None:
         try:
             async with asyncio.timeout(EXCHANGE_S):
-                envelope = unseal(self.secret, await self._read(sock))
+                envelope = decode_message(self.secret, await self._read(sock))
                 if not self._fresh(envelope, source):
                     return
                 if not isinstance(envelope.body, Sync):  # what was too long for a datagram
                     handler = self.handlers.get(type(envelope.body))
                     if handler is not None:
-                        self._handle(handler, Sender(envelope.name, envelope.life), envelope.body, None)
+                        self._handle(handler, Sender(envelope.name, envelope.incarnation), envelope.body, None)
                     return
-                sender = Sender(envelope.name, envelope.life)
-                answer, actions = self.core.asked(self.now(), sender, envelope.body)
+                sender = Sender(envelope.name, envelope.incarnation)
+                answer, actions = self.core.handle_sync(self.now(), sender, envelope.body)
                 self._do(actions)
                 if answer is not None:
                     await self._write(sock, self._sealed(envelope.name, answer))
-                    self.figures["exchanges_served"] += 1
+                    self.metrics["exchanges_served"] += 1
         except (Foreign, Malformed, UnknownVersion) as error:
             self._odd(source, "foreign", str(error))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            self.figures["exchanges_failed"] += 1
+            self.metrics["exchanges_failed"] += 1
         finally:
             self.serving -= 1
             sock.close()
 
     def _open(self, name: str, address: str, body: Message) -> None:
-        at = self.book.at(name, address) if name else place(address)
+        at = self.book.at(name, address) if name else parse_numeric_address(address)
         if at is None or self.asking >= ASKED_MAX:
             return
         self.asking += 1
         self._spawn(self._ask(at, name, body))
 
-    async def _ask(self, at: Place, name: str, body: Message) -> None:
-        sock = socket.socket(family(at[0]), socket.SOCK_STREAM)
+    async def _ask(self, at: Endpoint, name: str, body: Message) -> None:
+        sock = socket.socket(address_family(at[0]), socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
             async with asyncio.timeout(EXCHANGE_S):
                 await self.loop.sock_connect(sock, at)
                 await self._write(sock, self._sealed(name, body))
-                envelope = unseal(self.secret, await self._read(sock))
+                envelope = decode_message(self.secret, await self._read(sock))
             if self._fresh(envelope, at):
-                self.figures["exchanges_asked"] += 1
-                sender = Sender(envelope.name, envelope.life)
-                self._do(self.core.answered(self.now(), sender, envelope.body))
+                self.metrics["exchanges_asked"] += 1
+                sender = Sender(envelope.name, envelope.incarnation)
+                self._do(self.core.handle_sync_reply(self.now(), sender, envelope.body))
         except (Foreign, Malformed, UnknownVersion) as error:
             self._odd(at, "foreign", str(error))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            self.figures["exchanges_failed"] += 1
+            self.metrics["exchanges_failed"] += 1
         finally:
             self.asking -= 1
             sock.close()
 
     async def _write(self, sock: socket.socket, data: bytes) -> None:
-        self.figures["bytes_out"] += len(data)
+        self.metrics["bytes_out"] += len(data)
         await self.loop.sock_sendall(sock, LENGTH.pack(len(data)) + data)
 
     async def _read(self, sock: socket.socket) -> bytes:
--- a/notchflow/cluster/view.py
+++ b/notchflow/cluster/view.py
@@ -14,7 +14,7 @@
 
 def mark(record: Record) -> int:
     """What a record adds to a view's digest."""
-    life = record.life
+    life = record.incarnation
     return digest(
         f"{record.name} {life.epoch} {life.nonce} {record.revision} {record.state:d} " f"{record.address}"
     )
--- a/notchflow/emulator/budget_explorer.py
+++ b/notchflow/emulator/budget_explorer.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from notchflow.cluster.budgets import Terms
+from notchflow.cluster.budgets import TokenTerms
 from notchflow.emulator.budgets import Budget, Ours, World
 
 NAMES: Final = ("p1", "p2", "p3")
@@ -22,7 +22,7 @@
 STEP_MS, LENGTH_MS = 10.0, 2_400.0
 BEGIN_MS: Final = 1_500.0  # by then all parts are open, and full
 DELAYS: Final = {"lost": [], "doubled": [1.0, 30.0], "late": [350.0], "too late": [1_200.0]}
-TERMS: Final = Terms()
+TERMS: Final = TokenTerms()
 ROUNDING: Final = 1e-6
 
 
@@ -68,7 +68,7 @@
         self.sent = -1
         if case.slow is not None:
             self.world.kill(case.slow)
-            self.world.start(case.slow, 1.0 - TERMS.drift)
+            self.world.start(case.slow, 1.0 - TERMS.clock_drift)
 
     def run(self) -> list[str]:
         world = self.world
@@ -109,7 +109,7 @@
     def _used(self) -> list[str]:
         """Without a fault what is lent must be of use."""
         lent = sum(
-            node.part.core.figures["lent"]
+            node.part.core.metrics["lent"]
             for node in self.world.nodes.values()
             if isinstance(node.part, Ours)
         )
@@ -122,7 +122,7 @@
         for node in world.nodes.values():
             if node.alive:
                 assert isinstance(node.part, Ours)
-                total += node.part.core.potential(KEY, world.clock(node))
+                total += node.part.core.usable_tokens(KEY, world.clock(node))
         return total
 
     def _again(self, name: str) -> None:
--- a/notchflow/emulator/budgets.py
+++ b/notchflow/emulator/budgets.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Final, Protocol
 
-from notchflow.cluster.budgets import Budgets, Terms
-from notchflow.cluster.messages import Grant, Want
-from notchflow.cluster.model import Life
+from notchflow.cluster.budgets import Budgets, TokenTerms
+from notchflow.cluster.messages import LoanGrant, LoanRequest
+from notchflow.cluster.model import Incarnation
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.members import between
 from notchflow.tenancy.limits import Bucket
@@ -29,7 +29,7 @@
 
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]: ...
 
-    def heard(self, now: float, sender: str, life: Life, body: Any) -> Any:
+    def heard(self, now: float, sender: str, life: Incarnation, body: Any) -> Any:
         """A message; its answer, or None."""
 
 
@@ -37,7 +37,7 @@
     """The core, as its edge drives it."""
 
     def __init__(self, name: str, names: list[str], rng: random.Random, now: float) -> None:
-        self.core = Budgets(name, names, Terms(), rng, now)
+        self.core = Budgets(name, names, TokenTerms(), rng, now)
 
     def take(self, key: str, now: float, rate: float, burst: float) -> float:
         return self.core.take(key, now, rate, burst)
@@ -45,11 +45,11 @@
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
         return [*self.core.tick(now, present)]
 
-    def heard(self, now: float, sender: str, life: Life, body: Any) -> Any:
-        if isinstance(body, Want):
-            return self.core.asked(now, sender, life, body)
-        assert isinstance(body, Grant)
-        self.core.granted(now, sender, body)
+    def heard(self, now: float, sender: str, life: Incarnation, body: Any) -> Any:
+        if isinstance(body, LoanRequest):
+            return self.core.handle_loan_request(now, sender, life, body)
+        assert isinstance(body, LoanGrant)
+        self.core.handle_loan_grant(now, sender, body)
         return None
 
 
@@ -67,7 +67,7 @@
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
         return []
 
-    def heard(self, now: float, sender: str, life: Life, body: Any) -> Any:
+    def heard(self, now: float, sender: str, life: Incarnation, body: Any) -> Any:
         return None
 
 
@@ -100,7 +100,7 @@
             self.asked[key] = 0.0
         return [(name, dict(self.demand)) for name in present] if self.ticks % 4 == 0 else []
 
-    def heard(self, now: float, sender: str, life: Life, body: Any) -> Any:
+    def heard(self, now: float, sender: str, life: Incarnation, body: Any) -> Any:
         for key, demand in body.items():
             self.others[sender, key] = demand, now
         return None
@@ -110,7 +110,7 @@
 class Node:
     name: str
     part: Part
-    life: Life
+    life: Incarnation
     rate: float  # of its clock
     offset: float
     alive: bool = True
@@ -170,11 +170,11 @@
     def start(self, name: str, clock: float = 1.0) -> Node:
         offset = self.rng.uniform(0, 1e6)  # each life has a monotonic clock of its own
         now = self.sim.now * clock + offset
-        life = Life(int(self.sim.now), self.rng.getrandbits(60))
+        life = Incarnation(int(self.sim.now), self.rng.getrandbits(60))
         node = self.nodes[name] = Node(name, self._part(name, now), life, clock, offset)
         if isinstance(node.part, Ours):
             for key, budget in self.budgets.items():
-                node.part.core.know(key, now, budget.rate, budget.burst)
+                node.part.core.set_limit(key, now, budget.rate, budget.burst)
         self.sim.after(self.rng.uniform(0, TICK_MS), self._tick, node)
         return node
 
@@ -256,7 +256,7 @@
         for delay in fate:
             self.sim.after(delay, self._arrive, node.name, node.life, to, body)
 
-    def _arrive(self, sender: str, life: Life, to: str, body: Any) -> None:
+    def _arrive(self, sender: str, life: Incarnation, to: str, body: Any) -> None:
         node = self.nodes[to]
         if not node.alive:
             return
--- a/notchflow/emulator/explorer.py
+++ b/notchflow/emulator/explorer.py
@@ -117,10 +117,10 @@
         """By when all must be well again: heal, and if one has died the detection of it as well."""
         settings, size = self.fleet.settings, len(NAMES)
         return (
-            settings.heal(size)
-            + settings.detection(size)
-            + settings.contact(size)
-            + settings.one_name(size)
+            settings.heal_bound_ms(size)
+            + settings.detection_bound_ms(size)
+            + settings.contact_bound_ms(size)
+            + settings.one_name_bound_ms(size)
             + TAIL_MS
         )
 
@@ -158,13 +158,13 @@
     # -- what must hold
     def _watch(self, until: float) -> None:
         fleet = self.fleet
-        bound = fleet.settings.one_name(len(NAMES)) + STEP_MS
+        bound = fleet.settings.one_name_bound_ms(len(NAMES)) + STEP_MS
         while fleet.sim.now < until:
             fleet.run(STEP_MS)
             taking = [
                 n
                 for n in self.nodes
-                if n.name == "p1" and n.alive and isinstance(n.part, Members) and n.part.takes()
+                if n.name == "p1" and n.alive and isinstance(n.part, Members) and n.part.accepts_requests()
             ]
             linked = (
                 fleet.sim.now >= max((n.paused_until for n in taking), default=0.0)
@@ -204,7 +204,7 @@
     def _ends(self) -> None:
         """Once faults have ended, all that run hold the same, and it is true."""
         fleet = self.fleet
-        members = [n.part for n in self.nodes if n.alive and isinstance(n.part, Members) and n.part.takes()]
+        members = [n.part for n in self.nodes if n.alive and isinstance(n.part, Members) and n.part.accepts_requests()]
         running = {m.name for m in members}
         if running != {n.name for n in self.nodes if n.alive}:
             self._breaks("a name has nobody that takes requests")
--- a/notchflow/emulator/members.py
+++ b/notchflow/emulator/members.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import Final, Protocol
 
-from notchflow.cluster.actions import Action, Datagram, Exchange, Keep, Tell
+from notchflow.cluster.actions import Action, Datagram, Exchange, PersistIncarnation, MembershipEvent
 from notchflow.cluster.members import Members
-from notchflow.cluster.messages import Envelope, Message, Sync, seal
-from notchflow.cluster.model import Life, Record, Settings, State
-from notchflow.cluster.standpoint import Sender
+from notchflow.cluster.messages import Envelope, Message, Sync, encode_message
+from notchflow.cluster.model import Incarnation, Record, Settings, State
+from notchflow.cluster.local_state import Sender
 from notchflow.emulator.engine import Simulator
 
 EPOCH: Final = 1_000_000
@@ -27,13 +27,13 @@
 class Part(Protocol):
     """One instance's part, as the emulated edge drives it: Members, or what it is compared with."""
 
-    expected: float
+    next_timer_at: float
 
     def start(self, now: float) -> list[Action]: ...
 
     def tick(self, now: float) -> list[Action]: ...
 
-    def received(self, now: float, sender: Sender, body: Message) -> list[Action]: ...
+    def handle_message(self, now: float, sender: Sender, body: Message) -> list[Action]: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
     at: float
     who: str
-    life: Life
+    life: Incarnation
     what: str
     subject: str
     more: dict[str, object]
@@ -91,7 +91,7 @@
 
     name: str
     part: Part
-    life: Life
+    life: Incarnation
     address: str
     paused_until: float = 0.0
     alive: bool = True
@@ -108,7 +108,7 @@
         settings: Settings,
         seed: int,
         law: Law | None = None,
-        make: Callable[[str, Life, str, random.Random], Part] | None = None,
+        make: Callable[[str, Incarnation, str, random.Random], Part] | None = None,
     ) -> None:
         self.names, self.settings = list(names), settings
         self.sim = Simulator()
@@ -125,7 +125,7 @@
         self.starts = 0
         self.weigh = False  # whether messages are encoded to count their bytes
 
-    def _member(self, name: str, life: Life, address: str, rng: random.Random) -> Part:
+    def _member(self, name: str, life: Incarnation, address: str, rng: random.Random) -> Part:
         me = Record(name, life, 0, State.ALIVE, address, "1")
         return Members(me, self.names, self.settings, rng, [f"{n}:1" for n in self.names[:3]])
 
@@ -136,7 +136,7 @@
         self.starts += 1
         if epoch is None:
             epoch = max(self.kept.get(name, 0) + 1, EPOCH + int(self.sim.now))
-        life = Life(epoch, self.rng.getrandbits(32))
+        life = Incarnation(epoch, self.rng.getrandbits(32))
         self.kept[name] = epoch
         address = f"{name}:{place}"
         part = self.make(name, life, address, random.Random(self.rng.getrandbits(64)))
@@ -196,12 +196,12 @@
                     self._datagram(node, source if back and source else address or f"{to}:1", body)
                 case Exchange(to, address, body):
                     self._exchange(node, address or f"{to}:1", body)
-                case Keep(life):
+                case PersistIncarnation(life):
                     node.life = life
                     self.kept[node.name] = life.epoch
-                case Tell(what, subject, more):
+                case MembershipEvent(what, subject, more):
                     self.history.append(Told(self.sim.now, node.name, node.life, what, subject, more))
-        due = node.part.expected
+        due = node.part.next_timer_at
         if due < node.armed or node.armed <= self.sim.now:
             node.armed = due
             if due < float("inf"):
@@ -219,7 +219,7 @@
 
     def _weigh(self, node: Node, body: Message) -> None:
         if self.weigh:
-            self.bytes[node.name] += len(seal(SECRET, Envelope(node.name, node.life, 1, "p0000", body)))
+            self.bytes[node.name] += len(encode_message(SECRET, Envelope(node.name, node.life, 1, "p0000", body)))
 
     def _datagram(self, node: Node, to: str, body: Message) -> None:
         self._count(node, body)
@@ -229,7 +229,7 @@
     def _arrive(self, sender: Sender, source: str, to: str, body: Message) -> None:
         node = self.places.get(to)
         if node is not None and node.alive:
-            self._call(node, source, node.part.received, sender, body)
+            self._call(node, source, node.part.handle_message, sender, body)
 
     def _call(self, node: Node, source: str, call: Callable[..., list[Action]], *arguments: object) -> None:
         if self.sim.now < node.paused_until:
@@ -256,8 +256,8 @@
         ):
             return
         assert isinstance(body, Sync) and isinstance(node.part, Members)
-        answer, actions = node.part.asked(self.sim.now, sender, body)
+        answer, actions = node.part.handle_sync(self.sim.now, sender, body)
         self._do(node, actions)
         if answer is not None and asker.alive and isinstance(asker.part, Members):
             self._weigh(node, answer)
-            self._call(asker, "", asker.part.answered, Sender(node.name, node.life), answer)
+            self._call(asker, "", asker.part.handle_sync_reply, Sender(node.name, node.life), answer)
--- a/notchflow/faults/checks.py
+++ b/notchflow/faults/checks.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from notchflow.cluster.histories import Line
+from notchflow.cluster.histories import HistoryLine
 
 MS: Final = 1_000_000
 SLACK: Final = 1.05  # of a limit
@@ -47,7 +47,7 @@
     return int(number), int(nonce or "0", 16)
 
 
-def no_life_returns(lines: Iterable[Line]) -> list[Broken]:
+def no_life_returns(lines: Iterable[HistoryLine]) -> list[Broken]:
     """Once an observer has seen a life of a member end (a later one, or a leave), it never again holds an
     earlier one for alive."""
     newest: dict[tuple[str, str, str], tuple[int, int]] = {}
@@ -81,12 +81,12 @@
     return broken
 
 
-def _process(line: Line) -> str:
+def _process(line: HistoryLine) -> str:
     """An observer's own life, so that a restart is an observer of its own."""
     return str(line.get("incarnation", ""))
 
 
-def detected(lines: Sequence[Line], bounds: Bounds, slack_ms: float) -> list[Broken]:
+def detected(lines: Sequence[HistoryLine], bounds: Bounds, slack_ms: float) -> list[Broken]:
     """Whoever is killed, and does not come back, is held dead by all that run on, within the bound. For
     schedules that break nothing else meanwhile."""
     broken = []
@@ -103,7 +103,7 @@
     return broken
 
 
-def deaths(lines: Sequence[Line]) -> list[tuple[dict[str, float | None], Line]]:
+def deaths(lines: Sequence[HistoryLine]) -> list[tuple[dict[str, float | None], HistoryLine]]:
     """For each kill: how long each survivor took to hold the killed one dead (None: never)."""
     found = []
     for place, line in enumerate(lines):
@@ -123,7 +123,7 @@
     return found
 
 
-def _down_at(lines: Iterable[Line]) -> set[str]:
+def _down_at(lines: Iterable[HistoryLine]) -> set[str]:
     down: set[str] = set()
     for line in lines:
         if line["what"] in ("killed", "terminated"):
@@ -133,7 +133,7 @@
     return down
 
 
-def nobody_buried_alive(lines: Iterable[Line]) -> list[Broken]:
+def nobody_buried_alive(lines: Iterable[HistoryLine]) -> list[Broken]:
     """Nobody who runs is held dead: for schedules whose faults are too small for that."""
     down: set[str] = set()
     broken = []
@@ -153,7 +153,7 @@
     return broken
 
 
-def healed(lines: Iterable[Line], bounds: Bounds, slack_ms: float) -> list[Broken]:
+def healed(lines: Iterable[HistoryLine], bounds: Bounds, slack_ms: float) -> list[Broken]:
     """After the last fault all views become equal within the bound."""
     broken = []
     for line in lines:
@@ -167,7 +167,7 @@
     return broken
 
 
-def one_instance_a_name(lines: Iterable[Line], bounds: Bounds, slack_ms: float) -> list[Broken]:
+def one_instance_a_name(lines: Iterable[HistoryLine], bounds: Bounds, slack_ms: float) -> list[Broken]:
     """Two processes of one name do not both take requests for longer than the bound, while linked. A life's
     process is known by the `pid` that the rig names at its start and the instance with `start`."""
     taking: dict[str, dict[str, int]] = defaultdict(dict)
@@ -204,7 +204,7 @@
     return broken
 
 
-def within_limit(lines: Iterable[Line], rate: float, burst: float, spare: float) -> list[Broken]:
+def within_limit(lines: Iterable[HistoryLine], rate: float, burst: float, spare: float) -> list[Broken]:
     """Over every window no more requests were admitted, at all instances together, than rate x window x 1.05
     + burst; `spare` requests may be seen out of their time, as what is seen is when they were answered. A
     request counts as admitted unless it was turned away, or its client never heard."""
@@ -229,7 +229,7 @@
     return []
 
 
-def answered_once(lines: Sequence[Line], slack_ms: float) -> list[Broken]:
+def answered_once(lines: Sequence[HistoryLine], slack_ms: float) -> list[Broken]:
     """Each request that was sent has one answer, or its instance was ended by the rig: a connection that ends
     without one is excused by the end of the process at that time alone. Unsafe requests run once."""
     ends: dict[str, list[int]] = defaultdict(list)
--- a/notchflow/faults/command.py
+++ b/notchflow/faults/command.py
@@ -98,7 +98,7 @@
     folder.mkdir(parents=True, exist_ok=False)
     (folder / "schedule.toml").write_text(plan.toml())
     outcome = await Rig(folder, plan, rate).play()
-    histories.write(folder / "history.jsonl", outcome.lines)
+    histories.write_lines(folder / "history.jsonl", outcome.lines)
     return outcome
 
 
--- a/notchflow/faults/rig.py
+++ b/notchflow/faults/rig.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from notchflow.cluster.histories import Line, merge
+from notchflow.cluster.histories import HistoryLine, merge
 from notchflow.cluster.history import History
 from notchflow.faults import checks, schedule, versions
 from notchflow.faults.administration import Administration
@@ -49,7 +49,7 @@
 class Outcome:
     """What a play gave."""
 
-    lines: list[Line]
+    lines: list[HistoryLine]
     bounds: checks.Bounds
     agreed_ms: float | None
     asked: int = 0
@@ -132,7 +132,7 @@
         logs = {name: one.log[-LOG_SHOWN:] for name, one in self.fleet.instances.items()}
         return Outcome(lines, bounds, agreed, asked, self._judge(lines, bounds), logs)
 
-    def _judge(self, lines: list[Line], bounds: checks.Bounds) -> list[checks.Broken]:
+    def _judge(self, lines: list[HistoryLine], bounds: checks.Bounds) -> list[checks.Broken]:
         """The rules that hold whatever the schedule was."""
         limit = (
             checks.within_limit(lines, self.limits.rate_per_s, self.limits.burst, SPARE)
--- a/notchflow/faults/versions.py
+++ b/notchflow/faults/versions.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from notchflow.cluster.histories import Line
+from notchflow.cluster.histories import HistoryLine
 from notchflow.faults.checks import MS, Broken
 
 NEVER: Final = 1 << 62
@@ -32,7 +32,7 @@
     name: str
 
 
-def calls(lines: Sequence[Line]) -> list[Call]:
+def calls(lines: Sequence[HistoryLine]) -> list[Call]:
     ends = {line["id"]: line for line in lines if line["what"] == "called"}
     found = []
     for line in lines:
@@ -55,7 +55,7 @@
     return found
 
 
-def linearizable(lines: Sequence[Line]) -> list[Broken]:
+def linearizable(lines: Sequence[HistoryLine]) -> list[Broken]:
     """A tenant's versions are the order of all calls: what began after another had ended saw its version, or
     made a later one; no version is two calls', and what is read under one is what its call wrote."""
     done = [call for call in calls(lines) if call.status == 200]
@@ -99,7 +99,7 @@
     return broken
 
 
-def contradictions(lines: Sequence[Line]) -> list[tuple[int, float, str]]:
+def contradictions(lines: Sequence[HistoryLine]) -> list[tuple[int, float, str]]:
     """For each answer of 200 that was asked for while the tenant was suspended for certain: when, how long
     (ms) after the suspension was known to hold, and by whom. Certain is from when a call for it had ended up
     to when the next call that could end it began."""
@@ -124,7 +124,7 @@
     return found
 
 
-def suspended_in_time(lines: Sequence[Line], bound_ms: float, slack_ms: float) -> list[Broken]:
+def suspended_in_time(lines: Sequence[HistoryLine], bound_ms: float, slack_ms: float) -> list[Broken]:
     """Nobody serves a tenant for longer than the bound after it was told that it is suspended."""
     return [
         Broken("suspended-in-time", at, f"{who} served a tenant {ms:.0f} ms after it was suspended")
--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -11,10 +11,10 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from notchflow.cluster.identity import IdentityFault, read_secret
-from notchflow.cluster.messages import SECRET_MIN
+from notchflow.cluster.identity import IdentityError, read_secret
+from notchflow.cluster.messages import SECRET_BYTES_MIN
 from notchflow.cluster.model import NAMES_MAX
-from notchflow.cluster.places import place as numeric
+from notchflow.cluster.addresses import parse_numeric_address as numeric
 from notchflow.hosting.schema import (
     AdminModel,
     ClassModel,
@@ -310,8 +310,8 @@
                 )
             )
     try:
-        secret = read_secret(path.parent / cluster.secret, SECRET_MIN)
-    except IdentityFault as error:
+        secret = read_secret(path.parent / cluster.secret, SECRET_BYTES_MIN)
+    except IdentityError as error:
         return b"", [*faults, Fault("cluster.secret", str(error))]
     return secret, faults
 
--- a/notchflow/hosting/fleet.py
+++ b/notchflow/hosting/fleet.py
@@ -20,7 +20,7 @@
 
 import httpx
 
-from notchflow.cluster.messages import SECRET_MIN
+from notchflow.cluster.messages import SECRET_BYTES_MIN
 from notchflow.hosting.demo import FILE
 from notchflow.state.database import Database, Token
 from notchflow.tenancy.keys import ADMIN, KEY, mint
@@ -194,7 +194,7 @@
         """Writes the secret, and each instance's file and state."""
         if not self.secret.exists():
             handle = os.open(self.secret, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
-            os.write(handle, secrets.token_bytes(SECRET_MIN))
+            os.write(handle, secrets.token_bytes(SECRET_BYTES_MIN))
             os.close(handle)
         for name in self.names:
             self.write(name)
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -14,15 +14,15 @@
 from typing import Any, Final
 
 from notchflow.cluster import identity
-from notchflow.cluster.actions import Tell
+from notchflow.cluster.actions import MembershipEvent
 from notchflow.cluster.contacts import NEVER
-from notchflow.cluster.count import Count
-from notchflow.cluster.edge import Edge
+from notchflow.cluster.fleet_size import FleetSize
+from notchflow.cluster.transport import ClusterTransport
 from notchflow.cluster.history import History
-from notchflow.cluster.knowledge import VERDICTS
+from notchflow.cluster.updates import STATE_NAMES
 from notchflow.cluster.members import Members
-from notchflow.cluster.model import Life, Record, State
-from notchflow.cluster.tenure import Hold
+from notchflow.cluster.model import Incarnation, Record, State
+from notchflow.cluster.name_claim import ClaimState
 from notchflow.hosting.rules import FleetRules
 from notchflow.hosting.schema import ClusterModel
 from notchflow.hosting.shared_limits import TERMS, SharedLimits
@@ -90,38 +90,38 @@
         classes: Mapping[str, ClassCounts],
         history: Path | None = None,
     ) -> None:
-        """`classes`: what became of requests here. IdentityFault, OSError: the folder. Of its log also
+        """`classes`: what became of requests here. IdentityError, OSError: the folder. Of its log also
         StoreError, ManifestError, Locked."""
         self.model, self.loop, self.balancers = model, loop, balancers
         self.folder = state / FOLDER
-        taken = identity.take(self.folder, model.name, int(time.time() * 1e3))
+        taken = identity.begin_incarnation(self.folder, model.name, int(time.time() * 1e3))
         self.history = History(history, model.name)
-        life = Life(taken.epoch, secrets.randbits(62))
+        life = Incarnation(taken.epoch, secrets.randbits(62))
         me = Record(model.name, life, 0, State.ALIVE, model.listen, _version())
         self.core = Members(me, model.roster, model.core(), Random(secrets.randbits(64)), model.seeds)
-        self.edge = Edge(loop, self.core, secret, model.listen, model.addresses, self._keep, self._told)
+        self.edge = ClusterTransport(loop, self.core, secret, model.listen, model.addresses, self._keep, self._told)
         self.limits = (
             SharedLimits(loop, self.edge, Random(secrets.randbits(64)), longest_ms, classes)
             if model.limits == "fleet"
             else None
         )
         self.rules = (
-            FleetRules(model.name, model.roster, self.edge, self.folder, db, not taken.odd, self._note)
+            FleetRules(model.name, model.roster, self.edge, self.folder, db, not taken.anomaly, self._note)
             if model.rules == "fleet"
             else None
         )
-        self.count = Count()
+        self.count = FleetSize()
         self.looking: asyncio.TimerHandle | None = None
         self.changed: list[Callable[[], None]] = []  # called where requests may be taken from now on, or not
         self.took = False
-        if taken.odd:
-            self._disagreement("folder", taken.odd)
+        if taken.anomaly:
+            self._disagreement("folder", taken.anomaly)
 
     def _note(self, what: str, **more: Any) -> None:
-        self.history.note(str(self.core.tenure.life), what, **more)
+        self.history.note(str(self.core.name_claim.incarnation), what, **more)
 
     def _disagreement(self, kind: str, why: str) -> None:
-        self.history.note(str(self.core.tenure.life), "disagree", kind=kind, why=why)
+        self.history.note(str(self.core.name_claim.incarnation), "disagree", kind=kind, why=why)
         (log.info if why == "new" else log.warning)(f"the folder of this member: {why}")
 
     # -- life
@@ -158,36 +158,36 @@
     def _look(self) -> None:
         self.looking = self.loop.call_later(LOOK_S, self._look)
         now = self.edge.now()
-        if self.count.look(now, self.core.living(), self.core.standing(now)):
+        if self.count.observe(now, self.core.present_count(), self.core.standing(now)):
             log.info(f"the number of proxies is {self.count.value} from now on")
-            self.history.note(str(self.core.tenure.life), "balancers", count=self.count.value)
+            self.history.note(str(self.core.name_claim.incarnation), "balancers", count=self.count.value)
             self.balancers(self.count.value)
 
     # -- what the core has to say
-    def _keep(self, life: Life) -> None:
+    def _keep(self, life: Incarnation) -> None:
         try:
-            identity.keep(self.folder, self.model.name, life.epoch)
+            identity.save_epoch(self.folder, self.model.name, life.epoch)
         except OSError as error:  # the fleet corrects the next start
             log.error("the epoch of this life could not be kept: %s", error)
 
-    def _told(self, told: Tell) -> None:
+    def _told(self, told: MembershipEvent) -> None:
         self.history.note(
-            str(self.core.tenure.life),
+            str(self.core.name_claim.incarnation),
             told.what,
             **({"subject": told.subject} if told.subject else {}),
-            **told.more,
+            **told.details,
         )
-        takes = self.core.takes()
+        takes = self.core.accepts_requests()
         if takes is not self.took:
             self.took = takes
-            self.history.note(str(self.core.tenure.life), "takes", takes=takes, pid=os.getpid())
+            self.history.note(str(self.core.name_claim.incarnation), "takes", takes=takes, pid=os.getpid())
             for call in self.changed:
                 call()
-        values = {"subject": told.subject, "reason": "", "why": "", "answers_as": ""} | told.more
+        values = {"subject": told.subject, "reason": "", "why": "", "answers_as": ""} | told.details
         if told.what == "disagree":
-            log.warning("cluster: " + DISAGREEMENTS[told.more["kind"]].format(**values))
+            log.warning("cluster: " + DISAGREEMENTS[told.details["kind"]].format(**values))
         elif told.what == "slept":
-            log.warning("cluster: slept for %s ms; nobody is blamed for it", told.more["ms"])
+            log.warning("cluster: slept for %s ms; nobody is blamed for it", told.details["ms"])
         elif told.what in SAYINGS:
             level, text = SAYINGS[told.what]
             log.log(level, "cluster: " + text.format(**values))
@@ -199,13 +199,13 @@
         standing = self.core.standing(self.edge.now()).value
         fields = (b"X-Standing: %b\r\n" % standing.encode(), b"X-Instance: %b\r\n" % self.model.name.encode())
         opened = (self.limits is None or self.limits.opened()) and (self.rules is None or self.rules.acts())
-        return LocalReply(200 if opened and self.core.takes() and not away else 503, fields, b"")
+        return LocalReply(200 if opened and self.core.accepts_requests() and not away else 503, fields, b"")
 
     def turned_away(self) -> LocalReply | None:
         """What a request is told while this instance may take none under its name."""
-        if self.core.takes() or self.core.tenure.hold is Hold.LEFT:  # who leaves serves what still comes
+        if self.core.accepts_requests() or self.core.name_claim.state is ClaimState.LEFT:  # who leaves serves what still comes
             return None
-        if self.core.tenure.hold is Hold.CONTESTED:
+        if self.core.name_claim.state is ClaimState.CONTESTED:
             why = "Another instance has this one's name; nothing was done, trying again is harmless."
         else:
             why = "This instance is not a member of its fleet yet, or no more; nothing was done."
@@ -215,30 +215,30 @@
         """For the console."""
         now, core = self.edge.now(), self.core
         standing = core.standing(now)
-        states = {word: 0 for word in VERDICTS.values()}
+        states = {word: 0 for word in STATE_NAMES.values()}
         for record in core.view:
-            states[VERDICTS[record.state]] += 1
+            states[STATE_NAMES[record.state]] += 1
         found = [
             f'cluster_standing{{standing="{standing.value}"}} 1',
-            f"cluster_takes {int(core.takes())}",
+            f"cluster_takes {int(core.accepts_requests())}",
             f"cluster_balancers {self.count.value}",
-            f"cluster_awareness {core.awareness.score}",
+            f"cluster_awareness {core.local_health.score}",
             f"cluster_slept_ms {core.slept_ms:.0f}",
         ]
         found += [f'cluster_members{{state="{word}"}} {count}' for word, count in states.items()]
         found += self.limits.lines() if self.limits is not None else []
         found += self.rules.lines() if self.rules is not None else []
-        return found + [f"cluster_{name} {count}" for name, count in sorted(self.edge.figures.items())]
+        return found + [f"cluster_{name} {count}" for name, count in sorted(self.edge.metrics.items())]
 
     def bounds(self) -> dict[str, float]:
         """What follows from the settings, by the formulas of docs/operators/cluster.md; milliseconds."""
-        settings, size = self.core.settings, self.core.size
+        settings, size = self.core.settings, self.core.roster_size
         return {
-            "contact_ms": settings.contact(size),
-            "detection_ms": settings.detection(size),
-            "heal_ms": settings.heal(size),
-            "one_name_ms": settings.one_name(size),
-            "lent_ms": TERMS.out_ms,
+            "contact_ms": settings.contact_bound_ms(size),
+            "detection_ms": settings.detection_bound_ms(size),
+            "heal_ms": settings.heal_bound_ms(size),
+            "one_name_ms": settings.one_name_bound_ms(size),
+            "lent_ms": TERMS.outstanding_ms,
         } | ({"rules_ms": self.rules.terms.bound_ms} if self.rules is not None else {})
 
     def show(self) -> dict[str, Any]:
@@ -246,14 +246,14 @@
         now, core = self.edge.now(), self.core
         return {
             "name": core.name,
-            "incarnation": str(core.tenure.life),
+            "incarnation": str(core.name_claim.incarnation),
             "standing": core.standing(now).value,
-            "takes": core.takes(),
-            "hold": core.tenure.hold.value,
+            "takes": core.accepts_requests(),
+            "hold": core.name_claim.state.value,
             "balancers": self.count.value,
             "members": [self._member(name, now) for name in core.view.roster],
             "bounds": {name: round(value, 1) for name, value in self.bounds().items()},
-            "disagreements": sorted(core.told),
+            "disagreements": sorted(core.disagreements),
             "view": f"{core.view.digest:016x}",
             "rules": self.rules.show() if self.rules is not None else None,
             "figures": self.limits.by_class() if self.limits is not None else None,
@@ -262,7 +262,7 @@
     def _member(self, name: str, now: float) -> dict[str, Any]:
         core = self.core
         record = core.view.get(name)
-        heard = now if name == core.name else core.contacts.of[name].heard
+        heard = now if name == core.name else core.contacts.by_name[name].heard_at
         link = (
             "self"
             if name == core.name
@@ -270,8 +270,8 @@
         )
         return {
             "name": name,
-            "incarnation": str(record.life) if record is not None else None,
-            "state": VERDICTS[record.state] if record is not None else "unknown",
+            "incarnation": str(record.incarnation) if record is not None else None,
+            "state": STATE_NAMES[record.state] if record is not None else "unknown",
             "heard_ms": None if heard == NEVER else round(now - heard, 1),
             "version": record.version or None if record is not None else None,
             "address": record.address or None if record is not None else None,
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -26,7 +26,7 @@
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Hard, Role, Settings, Snapshot
 from notchflow.cluster.agreement.session import Terms
-from notchflow.cluster.edge import Edge
+from notchflow.cluster.transport import ClusterTransport
 from notchflow.net.exchange import LocalReply
 from notchflow.state.database import Database
 from notchflow.state.replicated import Applied, Command, Replicated, encode
@@ -61,7 +61,7 @@
         self,
         name: str,
         roster: Sequence[str],
-        edge: Edge,
+        edge: ClusterTransport,
         folder: Path,
         db: Database,
         trusted: bool,
--- a/notchflow/hosting/schema.py
+++ b/notchflow/hosting/schema.py
@@ -9,7 +9,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from notchflow.cluster.model import NAME, NAMES_MAX, Settings
+from notchflow.cluster.model import NAME_PATTERN, NAMES_MAX, Settings
 from notchflow.interface import Effect, RequestClass
 from notchflow.tenancy.model import Limits, Route
 
@@ -129,7 +129,7 @@
     queue_mb: float = Field(8.0, ge=0.0625, le=256)
 
 
-MemberName = Annotated[str, Field(pattern=NAME)]
+MemberName = Annotated[str, Field(pattern=NAME_PATTERN)]
 
 
 class ClusterModel(Strict):
@@ -150,7 +150,7 @@
 
     def core(self) -> Settings:
         return Settings(
-            contact_ms=self.contact_ms, timeout_ms=self.probe_timeout_ms, suspicion_ms=self.suspicion_ms
+            contact_ms=self.contact_ms, probe_timeout_ms=self.probe_timeout_ms, suspicion_ms=self.suspicion_ms
         )
 
 
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -19,7 +19,7 @@
 from notchflow.admin.api import Backend, create
 from notchflow.admin.operations import ApiProblem, Change, Operations
 from notchflow.admin.server import AdminServer
-from notchflow.cluster.identity import IdentityFault
+from notchflow.cluster.identity import IdentityError
 from notchflow.effects.keeper import Keeper
 from notchflow.hosting.bridge import Bridge, apply
 from notchflow.hosting.derived import bounds, defaults, face, rules
@@ -88,7 +88,7 @@
         self.flushing: asyncio.TimerHandle | None = None
 
     def _join(self) -> None:
-        """Becomes a member, if the file says so. IdentityFault, OSError."""
+        """Becomes a member, if the file says so. IdentityError, OSError."""
         model = self.file.cluster
         if model is None:
             return
@@ -354,7 +354,7 @@
     asyncio.set_event_loop(loop)
     try:
         service = Service(file, loop)
-    except (StateError, StoreError, ManifestError, Locked, IdentityFault, OSError) as error:
+    except (StateError, StoreError, ManifestError, Locked, IdentityError, OSError) as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return 1
     try:
--- a/notchflow/hosting/shared_limits.py
+++ b/notchflow/hosting/shared_limits.py
@@ -7,18 +7,18 @@
 from random import Random
 from typing import Any, Final
 
-from notchflow.cluster.budgets import Budgets, Terms
-from notchflow.cluster.counts import CLASS, CLASS_FIGURES, FIGURES, Ledger, Values
-from notchflow.cluster.edge import Edge
-from notchflow.cluster.holds import Holds
-from notchflow.cluster.holds import Terms as HoldTerms
-from notchflow.cluster.messages import Counted, Counts, Grant, Message, Want
-from notchflow.cluster.standpoint import Sender
+from notchflow.cluster.budgets import Budgets, TokenTerms
+from notchflow.cluster.fleet_metrics import CLASS_PREFIX, CLASS_METRICS, TENANT_METRICS, FleetMetrics, MetricValues
+from notchflow.cluster.transport import ClusterTransport
+from notchflow.cluster.concurrency_limits import ConcurrencyLimits
+from notchflow.cluster.concurrency_limits import SlotTerms as HoldTerms
+from notchflow.cluster.messages import MetricsAck, MetricsUpdate, LoanGrant, Message, LoanRequest
+from notchflow.cluster.local_state import Sender
 from notchflow.operations.metrics import ClassCounts
 from notchflow.tenancy.limits import Usage
 from notchflow.tenancy.model import Limits
 
-TERMS: Final = Terms()
+TERMS: Final = TokenTerms()
 PLACES: Final = 1  # the kind of budget: places in hand, not tokens
 HELD_ON_MS: Final = 1_000.0  # beyond the longest deadline, as an answer may be on its way
 COUNT_S: Final = 0.5  # between two rounds of figures
@@ -63,7 +63,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        edge: Edge,
+        edge: ClusterTransport,
         rng: Random,
         longest_ms: float,
         classes: Mapping[str, ClassCounts],
@@ -74,15 +74,15 @@
         core = edge.core
         self.core = Budgets(core.name, core.view.roster, TERMS, rng, edge.now())
         self.ticking: asyncio.TimerHandle | None = None
-        edge.handlers[Want] = self._asked
-        edge.handlers[Grant] = self._granted
-        self.holds = Holds(core.name, core.view.roster, HoldTerms(longest_ms + HELD_ON_MS), rng, edge.now())
-        self.ledger = Ledger(core.name, core.view.roster)
+        edge.handlers[LoanRequest] = self._asked
+        edge.handlers[LoanGrant] = self._granted
+        self.holds = ConcurrencyLimits(core.name, core.view.roster, HoldTerms(longest_ms + HELD_ON_MS), rng, edge.now())
+        self.ledger = FleetMetrics(core.name, core.view.roster)
         self.usages: dict[str, Usage] = {}
         self.touched: dict[str, int] = {}  # rounds since a tenant's figures last changed
         self.counting: asyncio.TimerHandle | None = None
-        edge.handlers[Counts] = self._counts
-        edge.handlers[Counted] = self._counted
+        edge.handlers[MetricsUpdate] = self._counts
+        edge.handlers[MetricsAck] = self._counted
 
     def start(self) -> None:
         self.counting = self.loop.call_later(COUNT_S, self._count)
@@ -102,8 +102,8 @@
 
     def know(self, tenant: str, limits: Limits) -> None:
         """A tenant's limits from now on: others may ask for its tokens before anybody asks here."""
-        self.core.know(tenant, self.edge.now(), limits.rate_per_s, limits.burst)
-        self.holds.know(tenant, limits.in_hand)
+        self.core.set_limit(tenant, self.edge.now(), limits.rate_per_s, limits.burst)
+        self.holds.set_limit(tenant, limits.in_hand)
 
     def forget(self, tenant: str) -> None:
         self.core.forget(tenant)
@@ -140,20 +140,20 @@
         for owner, want in self.core.tick(now, present):
             self.edge.send(owner, want)
         for owner, want in self.holds.tick(now, present):
-            self.edge.send(owner, Want(want.number, want.wants, PLACES))
-        if (self.core.hungry or self.holds.busy) and not self.edge.closed:
+            self.edge.send(owner, LoanRequest(want.number, want.items, PLACES))
+        if (self.core.active_keys or self.holds.active_keys) and not self.edge.closed:
             self.ticking = self.loop.call_later(TERMS.tick_ms / 1e3, self._tick)
 
     def _asked(self, now: float, sender: Sender, body: Message) -> Message | None:
-        assert isinstance(body, Want)
+        assert isinstance(body, LoanRequest)
         if body.kind == PLACES:
-            grant = self.holds.asked(now, sender.name, sender.life, body)
-            return Grant(grant.number, grant.lent, PLACES)
-        return self.core.asked(now, sender.name, sender.life, body)
+            grant = self.holds.handle_loan_request(now, sender.name, sender.incarnation, body)
+            return LoanGrant(grant.number, grant.lent, PLACES)
+        return self.core.handle_loan_request(now, sender.name, sender.incarnation, body)
 
     def _granted(self, now: float, sender: Sender, body: Message) -> Message | None:
-        assert isinstance(body, Grant)
-        (self.holds if body.kind == PLACES else self.core).granted(now, sender.name, body)
+        assert isinstance(body, LoanGrant)
+        (self.holds if body.kind == PLACES else self.core).handle_loan_grant(now, sender.name, body)
         return None
 
     # -- figures
@@ -174,31 +174,31 @@
                 del self.touched[tenant]
         self._count_classes()
         view = self.edge.core.view
-        lives = {name: record.life for name in view.present() if (record := view.get(name)) is not None}
+        lives = {name: record.incarnation for name in view.present() if (record := view.get(name)) is not None}
         for name, counts in self.ledger.tick(lives):
             self.edge.send(name, counts)
 
     def _count_classes(self) -> None:
         for name, counts in self.classes.items():
-            self.ledger.set(CLASS + name, class_figures(counts))
+            self.ledger.set(CLASS_PREFIX + name, class_figures(counts))
 
     def by_class(self) -> dict[str, Any]:
         """The fleet's figures of each class, as the API tells them."""
         self._count_classes()
-        age_ms, missing = self.ledger.reach(self.edge.now(), self.edge.core.left, FRESH_MS)
+        age_ms, missing = self.ledger.coverage(self.edge.now(), self.edge.core.left, FRESH_MS)
         return {
-            "classes": {name: self.ledger.total(CLASS + name) for name in self.ledger.classes()},
+            "classes": {name: self.ledger.total(CLASS_PREFIX + name) for name in self.ledger.classes()},
             "age_ms": round(age_ms, 1),
             "missing": list(missing),
         }
 
     def _counts(self, now: float, sender: Sender, body: Message) -> Message | None:
-        assert isinstance(body, Counts)
-        return self.ledger.heard(now, sender.name, sender.life, body)
+        assert isinstance(body, MetricsUpdate)
+        return self.ledger.handle_update(now, sender.name, sender.incarnation, body)
 
     def _counted(self, now: float, sender: Sender, body: Message) -> Message | None:
-        assert isinstance(body, Counted)
-        self.ledger.told(sender.name, sender.life, body)
+        assert isinstance(body, MetricsAck)
+        self.ledger.handle_ack(sender.name, sender.incarnation, body)
         return None
 
     def usage(self, tenant: str) -> dict[str, Any]:
@@ -220,15 +220,15 @@
         }
 
     def lines(self) -> list[str]:
-        return [f"cluster_budget_{name} {count}" for name, count in self.core.figures.items()]
+        return [f"cluster_budget_{name} {count}" for name, count in self.core.metrics.items()]
 
 
-def figures(usage: Usage) -> Values:
-    """A tenant's figures in the order of FIGURES."""
-    reasons = (usage.refused.get(why, 0) for why in FIGURES[3:9])
+def figures(usage: Usage) -> MetricValues:
+    """A tenant's figures in the order of TENANT_METRICS."""
+    reasons = (usage.refused.get(why, 0) for why in TENANT_METRICS[3:9])
     return (usage.asked, usage.served, usage.failed, *reasons, usage.in_hand, usage.bytes)
 
 
-def class_figures(counts: ClassCounts) -> Values:
-    """A class's figures in the order of CLASS_FIGURES."""
-    return tuple(getattr(counts, name) if name else 0 for name in CLASS_FIGURES)
+def class_figures(counts: ClassCounts) -> MetricValues:
+    """A class's figures in the order of CLASS_METRICS."""
+    return tuple(getattr(counts, name) if name else 0 for name in CLASS_METRICS)
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -11,15 +11,15 @@
 import pytest
 
 from notchflow.cluster import budgets
-from notchflow.cluster.budgets import Account, Budgets, Held, Loan, Lot, Part, Terms, owners
-from notchflow.cluster.messages import Grant, Lent, Want, Wanted
-from notchflow.cluster.model import Life
+from notchflow.cluster.budgets import Account, Budgets, Held, Loan, Lot, Part, TokenTerms, owners
+from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.model import Incarnation
 from notchflow.emulator.budget_explorer import BUDGETS, Play, Scope, explore
 from notchflow.emulator.budgets import Budget, Ledger, World
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
-TERMS = Terms()
-LIFE = Life(1, 1)
+TERMS = TokenTerms()
+LIFE = Incarnation(1, 1)
 NAMES = [f"p{number}" for number in range(5)]
 ALL: tuple[str, ...] = ("p1", "p2")
 
@@ -27,8 +27,8 @@
 def opened(name: str = "p1", rate: float = 100.0, burst: float = 20.0) -> Budgets:
     """An instance of two whose own part is open and full at 10 s."""
     made = Budgets(name, ALL, TERMS, random.Random(1), 0.0)
-    made.know("t", 0.0, rate, burst)
-    assert made.potential("t", 10_000.0) == burst / 2
+    made.set_limit("t", 0.0, rate, burst)
+    assert made.usable_tokens("t", 10_000.0) == burst / 2
     return made
 
 
@@ -36,8 +36,8 @@
 
 
 def lent(core: Budgets, now: float, tokens: int, spent: tuple[int, ...] = (), number: int = 0) -> int:
-    want = Want(number or next(NUMBERS), (Wanted("t", tokens, spent),))
-    return sum(one.tokens for one in core.asked(now, "p2", LIFE, want).lent)
+    want = LoanRequest(number or next(NUMBERS), (LoanItem("t", tokens, spent),))
+    return sum(one.tokens for one in core.handle_loan_request(now, "p2", LIFE, want).lent)
 
 
 # -- one instance
@@ -53,26 +53,26 @@
 
 def test_an_instance_that_starts_has_nothing_until_loans_of_its_former_life_have_ended() -> None:
     core = Budgets("p1", ALL, TERMS, random.Random(1), 1_000.0)
-    assert core.take("t", 1_000.0 + TERMS.out_ms, 100.0, 20.0) > 0
-    assert core.take("t", 1_000.0 + TERMS.out_ms + 25.0, 100.0, 20.0) == 0, "a half of 100 a second by now"
+    assert core.take("t", 1_000.0 + TERMS.outstanding_ms, 100.0, 20.0) > 0
+    assert core.take("t", 1_000.0 + TERMS.outstanding_ms + 25.0, 100.0, 20.0) == 0, "a half of 100 a second by now"
 
 
 def test_what_is_lent_is_gone_until_it_is_settled_or_has_ended() -> None:
     core = opened()
     now = 10_000.0
     assert lent(core, now, 5, number=7) == 5 and lent(core, now, 3, number=8) == 3
-    assert core.potential("t", now + 400.0) == 2.0, "time brings nothing while 8 of 10 are out"
-    assert lent(core, now + 400.0, 0, spent=(7,)) == 0 and core.potential("t", now + 500.0) == 7.0
-    assert core.potential("t", now + TERMS.out_ms + 100.0) == 10.0
+    assert core.usable_tokens("t", now + 400.0) == 2.0, "time brings nothing while 8 of 10 are out"
+    assert lent(core, now + 400.0, 0, spent=(7,)) == 0 and core.usable_tokens("t", now + 500.0) == 7.0
+    assert core.usable_tokens("t", now + TERMS.outstanding_ms + 100.0) == 10.0
     assert lent(core, now + 600.0, 4, number=9) == 4
     assert lent(core, now + 600.0, 0, spent=(7, 8)) == 0
-    assert core.potential("t", now + 700.0) == 6.0, "what had ended comes off nothing else"
+    assert core.usable_tokens("t", now + 700.0) == 6.0, "what had ended comes off nothing else"
 
 
 def test_who_asks_twice_under_one_number_is_lent_once() -> None:
     core = opened()
     assert [lent(core, 10_000.0, 4, number=7) for _ in range(3)] == [4, 4, 4]
-    assert core.potential("t", 10_000.0) == 6.0
+    assert core.usable_tokens("t", 10_000.0) == 6.0
 
 
 def test_the_first_to_come_at_an_owner_finds_a_token_and_its_own_need_goes_before_lending() -> None:
@@ -92,14 +92,14 @@
     for _ in range(12):
         core.take("t", now - 10.0, 100.0, 20.0)
     ((owner, want),) = core.tick(now, ["p1"])
-    assert owner == "p1" and want.wants[0].tokens > 0
-    have = core.potential("t", now)
-    core.granted(now + 100.0, "p3", Grant(want.number, (Lent("t", 3),)))
-    assert core.potential("t", now) == have, "p3 was not asked"
+    assert owner == "p1" and want.items[0].tokens > 0
+    have = core.usable_tokens("t", now)
+    core.handle_loan_grant(now + 100.0, "p3", LoanGrant(want.number, (Lent("t", 3),)))
+    assert core.usable_tokens("t", now) == have, "p3 was not asked"
     ((_, want),) = core.tick(now, ["p1"])
     for _ in range(2):
-        core.granted(now + 100.0, "p1", Grant(want.number, (Lent("t", 3),)))
-    core.granted(now + 100.0, "p1", Grant(want.number + 1, (Lent("t", 3),)))
+        core.handle_loan_grant(now + 100.0, "p1", LoanGrant(want.number, (Lent("t", 3),)))
+    core.handle_loan_grant(now + 100.0, "p1", LoanGrant(want.number + 1, (Lent("t", 3),)))
     account = core.accounts["t"]
     assert account.borrowed(now + 499.0) == 3 and account.borrowed(now + 500.0) == 0
 
@@ -118,9 +118,9 @@
 def test_a_lowered_limit_takes_what_is_over_it_at_once_and_waits_for_what_is_lent() -> None:
     core = opened()
     assert lent(core, 10_000.0, 8) == 8
-    core.know("t", 10_000.0, 10.0, 4.0)
-    assert core.potential("t", 10_000.0) == 0.0, "8 are out, and its part is 2"
-    assert core.potential("t", 10_000.0 + TERMS.out_ms + 1_000.0) == 2.0
+    core.set_limit("t", 10_000.0, 10.0, 4.0)
+    assert core.usable_tokens("t", 10_000.0) == 0.0, "8 are out, and its part is 2"
+    assert core.usable_tokens("t", 10_000.0 + TERMS.outstanding_ms + 1_000.0) == 2.0
 
 
 def test_an_owner_never_holds_less_to_be_out_than_there_is() -> None:
@@ -133,9 +133,9 @@
             now += rng.uniform(0, 150)
             if rng.random() < 0.5:
                 tokens, late = rng.randint(1, 4), rng.uniform(0, 200)
-                loan.lots[number] = now + TERMS.out_ms, tokens
+                loan.lots[number] = now + TERMS.outstanding_ms, tokens
                 if rng.random() < 0.8:
-                    held.add(Lot(now - late + TERMS.life_ms, tokens, number))
+                    held.add(Lot(now - late + TERMS.loan_ms, tokens, number))
             if held.there(now) and rng.random() < 0.6:
                 held.spend()
             if rng.random() < 0.5:
@@ -160,8 +160,8 @@
             core.take(f"tenant-{number}", 10_000.0, 10.0, 10.0)
     asked = core.tick(10_050.0, ["p2"])
     assert len(asked) == budgets.MESSAGES_A_TICK
-    assert max(len(want.wants) for _, want in asked) == budgets.TENANTS_A_MESSAGE
-    assert not core.tick(20_000.0, ["p2"]) and not core.hungry, "who is not asked any more asks for nothing"
+    assert max(len(want.items) for _, want in asked) == budgets.TENANTS_A_MESSAGE
+    assert not core.tick(20_000.0, ["p2"]) and not core.active_keys, "who is not asked any more asks for nothing"
 
 
 # -- many instances
@@ -208,7 +208,7 @@
             match rng.randint(0, 5):
                 case 0:
                     world.kill(name)
-                    world.start(name, 1.0 - rng.random() * TERMS.drift)
+                    world.start(name, 1.0 - rng.random() * TERMS.clock_drift)
                 case 1:
                     world.pause(name, rng.choice((300.0, 1_100.0, 3_000.0)))
                 case 2:
@@ -250,14 +250,14 @@
 
 
 def a_lease_counts_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    before = Budgets.granted
+    before = Budgets.handle_loan_grant
 
-    def granted(self: Budgets, now: float, owner: str, grant: Grant) -> None:
+    def granted(self: Budgets, now: float, owner: str, grant: LoanGrant) -> None:
         if grant.number in self.asking:
             self.asking[grant.number] = owner, now
         before(self, now, owner, grant)
 
-    patch.setattr(Budgets, "granted", granted)
+    patch.setattr(Budgets, "handle_loan_grant", granted)
 
 
 def a_loan_is_forgotten_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -265,7 +265,7 @@
 
 
 def the_owner_waits_half_as_long(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Terms, "out_ms", property(lambda self: self.life_ms / 2))
+    patch.setattr(TokenTerms, "outstanding_ms", property(lambda self: self.loan_ms / 2))
 
 
 def a_part_is_open_at_once_after_a_start(patch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_counts.py
+++ b/tests/cluster/test_counts.py
@@ -4,20 +4,20 @@
 
 import random
 
-from notchflow.cluster.counts import (
-    CLASS,
-    FIGURES,
+from notchflow.cluster.fleet_metrics import (
+    CLASS_PREFIX,
+    TENANT_METRICS,
     GAUGES,
     MESSAGES_A_TICK,
     ROWS_A_MESSAGE,
     TENANTS_MAX,
     ZERO,
-    Ledger,
-    Values,
+    FleetMetrics,
+    MetricValues,
     fitted,
 )
-from notchflow.cluster.messages import Counted, Counts, Row
-from notchflow.cluster.model import Life
+from notchflow.cluster.messages import MetricsAck, MetricsUpdate, MetricsRow
+from notchflow.cluster.model import Incarnation
 
 NAMES = ("p1", "p2", "p3")
 FOREVER = 1e12
@@ -25,23 +25,23 @@
 
 def test_classes_are_counted_beside_tenants_and_a_life_that_ends_leaves_its_counters() -> None:
     net = Net(3, 0.0)
-    read = (5, 2, 1, 0, 7, 0, 0, 0, 0, 3, 0)  # in the order of CLASS_FIGURES
+    read = (5, 2, 1, 0, 7, 0, 0, 0, 0, 3, 0)  # in the order of CLASS_METRICS
     for ledger in net.ledgers.values():
         ledger.set("read", values(9))  # a tenant may have a class's name
-        ledger.set(CLASS + "read", read)
+        ledger.set(CLASS_PREFIX + "read", read)
     net.round()
-    found = net.ledgers["p1"].sum(net.now, CLASS + "read", frozenset(), FOREVER).values
+    found = net.ledgers["p1"].sum(net.now, CLASS_PREFIX + "read", frozenset(), FOREVER).values
     assert found == {"fulfilled": 15, "throttled": 6, "faulted": 3, "departed": 0, "relayed": 21, "open": 9}
     assert net.ledgers["p1"].sum(net.now, "read", frozenset(), FOREVER).values["asked"] == 27
-    net.ledgers["p3"], net.lives["p3"] = Ledger("p3", NAMES), Life(2, 1)
-    net.ledgers["p3"].set(CLASS + "pay", read)
+    net.ledgers["p3"], net.lives["p3"] = FleetMetrics("p3", NAMES), Incarnation(2, 1)
+    net.ledgers["p3"].set(CLASS_PREFIX + "pay", read)
     net.round()
-    found = net.ledgers["p1"].sum(net.now, CLASS + "read", frozenset(), FOREVER).values
+    found = net.ledgers["p1"].sum(net.now, CLASS_PREFIX + "read", frozenset(), FOREVER).values
     assert (found["fulfilled"], found["open"]) == (15, 6), "what was open has gone with its life"
     assert net.ledgers["p1"].classes() == ["pay", "read"]
 
 
-def values(asked: int, held: int = 0) -> Values:
+def values(asked: int, held: int = 0) -> MetricValues:
     return (asked, *ZERO[1:-1], held)
 
 
@@ -50,9 +50,9 @@
 
     def __init__(self, seed: int, loss: float) -> None:
         self.rng, self.loss = random.Random(seed), loss
-        self.ledgers = {name: Ledger(name, NAMES) for name in NAMES}
-        self.lives = {name: Life(1, 1) for name in NAMES}
-        self.late: list[tuple[str, Life, str, Counts | Counted]] = []
+        self.ledgers = {name: FleetMetrics(name, NAMES) for name in NAMES}
+        self.lives = {name: Incarnation(1, 1) for name in NAMES}
+        self.late: list[tuple[str, Incarnation, str, MetricsUpdate | MetricsAck]] = []
         self.now = 0.0
 
     def round(self) -> None:
@@ -65,7 +65,7 @@
         for sender, life, to, body in late:
             self.arrive(sender, life, to, body)
 
-    def pass_on(self, sender: str, life: Life, to: str, body: Counts | Counted) -> None:
+    def pass_on(self, sender: str, life: Incarnation, to: str, body: MetricsUpdate | MetricsAck) -> None:
         if self.rng.random() < self.loss:
             return
         if self.rng.random() < self.loss:
@@ -73,12 +73,12 @@
         for _ in range(2 if self.rng.random() < self.loss else 1):
             self.arrive(sender, life, to, body)
 
-    def arrive(self, sender: str, life: Life, to: str, body: Counts | Counted) -> None:
+    def arrive(self, sender: str, life: Incarnation, to: str, body: MetricsUpdate | MetricsAck) -> None:
         ledger = self.ledgers[to]
-        if isinstance(body, Counted):
-            ledger.told(sender, life, body)
+        if isinstance(body, MetricsAck):
+            ledger.handle_ack(sender, life, body)
             return
-        answer = ledger.heard(self.now, sender, life, body)
+        answer = ledger.handle_update(self.now, sender, life, body)
         if answer is not None:
             self.pass_on(to, self.lives[to], sender, answer)
 
@@ -103,8 +103,8 @@
                 for one in ("a", "b", "c"):
                     ended[one] += counted[name][one]
                 counted[name] = dict.fromkeys(("a", "b", "c"), 0)
-                net.lives[name] = Life(net.lives[name].epoch + 1, 1)
-                net.ledgers[name] = Ledger(name, NAMES)
+                net.lives[name] = Incarnation(net.lives[name].epoch + 1, 1)
+                net.ledgers[name] = FleetMetrics(name, NAMES)
         net.loss = 0.0
         for _ in range(10):
             net.round()
@@ -114,24 +114,24 @@
 
 
 def test_counters_of_a_life_that_has_ended_stay_and_what_it_had_in_hand_does_not() -> None:
-    ledger = Ledger("p1", NAMES)
-    ledger.heard(0.0, "p2", Life(1, 1), Counts(0, 1, (Row("a", values(7, held=3)),)))
-    ledger.heard(1.0, "p2", Life(2, 1), Counts(0, 1, (Row("a", values(2, held=1)),)))
+    ledger = FleetMetrics("p1", NAMES)
+    ledger.handle_update(0.0, "p2", Incarnation(1, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(7, held=3)),)))
+    ledger.handle_update(1.0, "p2", Incarnation(2, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(2, held=1)),)))
     found = ledger.sum(1.0, "a", frozenset(), FOREVER).values
     assert (found["asked"], found["held"]) == (9, 1)
-    assert ledger.heard(2.0, "p2", Life(1, 1), Counts(1, 2, (Row("a", values(50)),))) is None
+    assert ledger.handle_update(2.0, "p2", Incarnation(1, 1), MetricsUpdate(1, 2, (MetricsRow("a", values(50)),))) is None
     assert ledger.sum(2.0, "a", frozenset(), FOREVER).values["asked"] == 9
 
 
 def test_a_part_whose_beginning_is_missing_is_asked_for_again() -> None:
-    ledger = Ledger("p1", NAMES)
-    assert ledger.heard(0.0, "p2", Life(1, 1), Counts(5, 6, (Row("a", values(7)),))) == Counted(0)
+    ledger = FleetMetrics("p1", NAMES)
+    assert ledger.handle_update(0.0, "p2", Incarnation(1, 1), MetricsUpdate(5, 6, (MetricsRow("a", values(7)),))) == MetricsAck(0)
     assert ledger.sum(0.0, "a", frozenset(), FOREVER).values["asked"] == 0
 
 
 def test_who_is_not_heard_is_said_to_be_missing_unless_it_left() -> None:
-    ledger = Ledger("p1", NAMES)
-    ledger.heard(0.0, "p2", Life(1, 1), Counts(0, 0, ()))
+    ledger = FleetMetrics("p1", NAMES)
+    ledger.handle_update(0.0, "p2", Incarnation(1, 1), MetricsUpdate(0, 0, ()))
     assert ledger.sum(1_000.0, "a", frozenset(), 3_000.0).missing == ("p3",)
     assert ledger.sum(4_000.0, "a", frozenset(), 3_000.0).missing == ("p2", "p3")
     late = ledger.sum(2_000.0, "a", frozenset({"p3"}), 3_000.0)
@@ -139,30 +139,30 @@
 
 
 def test_what_is_sent_is_what_changed_in_bounded_parts() -> None:
-    ledger = Ledger("p1", NAMES)
+    ledger = FleetMetrics("p1", NAMES)
     for number in range(100):
         ledger.set(f"t{number}", values(1))
     told = 0
     for _ in range(100):
-        messages = [m for name, m in ledger.tick({"p2": Life(1, 1)})]
+        messages = [m for name, m in ledger.tick({"p2": Incarnation(1, 1)})]
         assert len(messages) <= MESSAGES_A_TICK and all(len(m.rows) <= ROWS_A_MESSAGE for m in messages)
         if not messages[0].rows:
             break
         told += sum(len(m.rows) for m in messages)
-        ledger.told("p2", Life(1, 1), Counted(messages[-1].up_to))
+        ledger.handle_ack("p2", Incarnation(1, 1), MetricsAck(messages[-1].up_to))
     assert told == 100
     ledger.set("t7", values(2))
     ledger.set("t8", values(1))
-    ((_, message),) = ledger.tick({"p2": Life(1, 1)})
+    ((_, message),) = ledger.tick({"p2": Incarnation(1, 1)})
     assert [row.tenant for row in message.rows] == ["t7"]
-    (_, message), *_ = ledger.tick({"p2": Life(2, 1)})
+    (_, message), *_ = ledger.tick({"p2": Incarnation(2, 1)})
     assert len(message.rows) == ROWS_A_MESSAGE, "a new life of p2 knows nothing"
 
 
 def test_memory_is_bounded_by_tenants_and_other_forms_of_rows_are_fitted() -> None:
-    ledger = Ledger("p1", NAMES)
+    ledger = FleetMetrics("p1", NAMES)
     for number in range(TENANTS_MAX + 5):
         ledger.set(f"t{number}", values(1))
     assert len(ledger.own) == TENANTS_MAX and ledger.untold == 5
-    assert fitted((1, 2)) == (1, 2, *ZERO[2:]) and len(fitted(tuple(range(30)))) == len(FIGURES)
-    assert GAUGES == 2 and FIGURES[-GAUGES:] == ("open", "held")
+    assert fitted((1, 2)) == (1, 2, *ZERO[2:]) and len(fitted(tuple(range(30)))) == len(TENANT_METRICS)
+    assert GAUGES == 2 and TENANT_METRICS[-GAUGES:] == ("open", "held")
--- a/tests/cluster/test_explored.py
+++ b/tests/cluster/test_explored.py
@@ -14,7 +14,7 @@
 from notchflow.cluster.model import Record, State
 from notchflow.cluster.probes import Round
 from notchflow.cluster.suspicion import Suspicion
-from notchflow.cluster.tenure import Tenure
+from notchflow.cluster.name_claim import NameClaim
 from notchflow.emulator.explorer import Play, Scope, explore
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
@@ -45,7 +45,7 @@
     before = Members._of_myself
 
     def heard(self: Members, now: float, record: Record) -> None:
-        if record.life != self.tenure.life:
+        if record.incarnation != self.name_claim.incarnation:
             before(self, now, record)
 
     patch.setattr(Members, "_of_myself", heard)
@@ -61,12 +61,12 @@
         Record,
         "rank",
         lambda self: (
-            model.NO_LIFE,
+            model.NO_INCARNATION,
             self.state is State.LEFT,
             self.revision,
             self.state,
             self.address,
-            str(self.life),
+            str(self.incarnation),
         ),
     )
 
@@ -76,7 +76,7 @@
         Record,
         "rank",
         lambda self: (
-            self.life,
+            self.incarnation,
             False,
             self.revision,
             State.ALIVE if self.state is State.LEFT else self.state,
@@ -87,19 +87,19 @@
 
 
 def the_older_instance_keeps_the_name(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Tenure, "takes", property(lambda self: True))
+    patch.setattr(NameClaim, "accepts_requests", property(lambda self: True))
 
 
 def the_older_instance_takes_the_name_back(patch: pytest.MonkeyPatch) -> None:
-    def hear(self: Tenure, record: Record) -> bool:
-        self.rise(record.life)
+    def hear(self: NameClaim, record: Record) -> bool:
+        self.rise(record.incarnation)
         return True
 
-    patch.setattr(Tenure, "hear", hear)
+    patch.setattr(NameClaim, "hear", hear)
 
 
 def a_lost_folder_is_not_made_up_for(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Tenure, "rise", lambda self, above: None)
+    patch.setattr(NameClaim, "rise", lambda self, above: None)
 
 
 def the_dead_and_cut_off_are_not_probed(patch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_holds.py
+++ b/tests/cluster/test_holds.py
@@ -9,14 +9,14 @@
 import pytest
 
 from notchflow.cluster.budgets import Loan
-from notchflow.cluster.holds import Account, Holds, Lot, Terms
-from notchflow.cluster.messages import Grant, Lent, Want, Wanted
-from notchflow.cluster.model import Life
+from notchflow.cluster.concurrency_limits import Account, ConcurrencyLimits, Lot, SlotTerms
+from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.model import Incarnation
 from notchflow.emulator.engine import Simulator
 
 NAMES = ("p1", "p2", "p3", "p4")
 HOLD_MS = 800.0
-TERMS = Terms(HOLD_MS)
+TERMS = SlotTerms(HOLD_MS)
 TICK_MS = 50.0
 LIMIT = 18
 
@@ -26,35 +26,35 @@
 
     def __init__(self, seed: int, trouble: float) -> None:
         self.sim, self.rng, self.trouble = Simulator(), random.Random(seed), trouble
-        self.nodes: dict[str, Holds] = {}
-        self.lives: dict[str, Life] = {}
+        self.nodes: dict[str, ConcurrencyLimits] = {}
+        self.lives: dict[str, Incarnation] = {}
         self.worst = self.most_taken = self.served = self.refused = 0
         for name in NAMES:
             self.start(name)
             self.sim.at(self.rng.uniform(0, TICK_MS), self.tick, name)
 
     def start(self, name: str) -> None:
-        self.lives[name] = Life(int(self.sim.now) + 1, self.rng.getrandbits(40))
-        made = self.nodes[name] = Holds(name, NAMES, TERMS, random.Random(self.rng.random()), self.sim.now)
-        made.know("t", LIMIT)
+        self.lives[name] = Incarnation(int(self.sim.now) + 1, self.rng.getrandbits(40))
+        made = self.nodes[name] = ConcurrencyLimits(name, NAMES, TERMS, random.Random(self.rng.random()), self.sim.now)
+        made.set_limit("t", LIMIT)
 
     def tick(self, name: str) -> None:
         self.sim.after(TICK_MS, self.tick, name)
         for to, want in self.nodes[name].tick(self.sim.now, [n for n in NAMES if n != name]):
             self.send(name, to, want)
 
-    def send(self, sender: str, to: str, body: Want | Grant) -> None:
+    def send(self, sender: str, to: str, body: LoanRequest | LoanGrant) -> None:
         if self.rng.random() < self.trouble:
             return
         for _ in range(2 if self.rng.random() < self.trouble else 1):
             late = 400.0 if self.rng.random() < self.trouble else 1.0
             self.sim.after(late, self.arrive, sender, self.lives[sender], to, body)
 
-    def arrive(self, sender: str, life: Life, to: str, body: Want | Grant) -> None:
-        if isinstance(body, Grant):
-            self.nodes[to].granted(self.sim.now, sender, body)
+    def arrive(self, sender: str, life: Incarnation, to: str, body: LoanRequest | LoanGrant) -> None:
+        if isinstance(body, LoanGrant):
+            self.nodes[to].handle_loan_grant(self.sim.now, sender, body)
         else:
-            self.send(to, sender, self.nodes[to].asked(self.sim.now, sender, life, body))
+            self.send(to, sender, self.nodes[to].handle_loan_request(self.sim.now, sender, life, body))
 
     def ask(self, name: str) -> None:
         node = self.nodes[name]
@@ -63,10 +63,10 @@
             self.sim.after(self.rng.uniform(50.0, HOLD_MS - 1.0), self.over, node)
         else:
             self.refused += 1
-        self.worst = max(self.worst, sum(one.most("t", self.sim.now) for one in self.nodes.values()))
+        self.worst = max(self.worst, sum(one.usable_slots("t", self.sim.now) for one in self.nodes.values()))
         self.most_taken = max(self.most_taken, self.taken())
 
-    def over(self, node: Holds) -> None:
+    def over(self, node: ConcurrencyLimits) -> None:
         node.release("t")
 
     def taken(self) -> int:
@@ -98,14 +98,14 @@
     assert world.most_taken >= LIMIT - 2
 
 
-def opened() -> Holds:
-    made = Holds("p1", ("p1", "p2"), TERMS, random.Random(1), 0.0)
-    made.know("t", 8)
+def opened() -> ConcurrencyLimits:
+    made = ConcurrencyLimits("p1", ("p1", "p2"), TERMS, random.Random(1), 0.0)
+    made.set_limit("t", 8)
     return made
 
 
-def lent(core: Holds, now: float, places: int, spent: tuple[int, ...] = (), number: int = 1) -> int:
-    grant = core.asked(now, "p2", Life(1, 1), Want(number, (Wanted("t", places, spent),)))
+def lent(core: ConcurrencyLimits, now: float, places: int, spent: tuple[int, ...] = (), number: int = 1) -> int:
+    grant = core.handle_loan_request(now, "p2", Incarnation(1, 1), LoanRequest(number, (LoanItem("t", places, spent),)))
     return sum(one.tokens for one in grant.lent)
 
 
@@ -115,21 +115,21 @@
     assert lent(core, now, 100, number=2) == 0 and core.free("t", now) == 2
     assert lent(core, now + 1.0, 0, spent=(1,), number=3) == 0 and core.free("t", now + 1.0) == 4
     assert lent(core, now + 2.0, 2, number=4) == 2
-    assert core.free("t", now + TERMS.out_ms) == 2 and core.free("t", now + TERMS.out_ms + 3.0) == 4
+    assert core.free("t", now + TERMS.outstanding_ms) == 2 and core.free("t", now + TERMS.outstanding_ms + 3.0) == 4
 
 
 def test_an_instance_that_starts_has_the_half_that_is_never_lent() -> None:
     core = opened()
     assert core.free("t", 1.0) == 2 and lent(core, 1.0, 100) == 0
-    assert core.free("t", TERMS.out_ms + 1.0) == 4
+    assert core.free("t", TERMS.outstanding_ms + 1.0) == 4
 
 
 def test_limits_that_cannot_be_divided_and_small_ones_are_whole() -> None:
     for limit in (1, 3, 7, 8, 250):
         parts = []
         for name in NAMES:
-            core = Holds(name, NAMES, TERMS, random.Random(1), 0.0)
-            core.know("t", limit)
+            core = ConcurrencyLimits(name, NAMES, TERMS, random.Random(1), 0.0)
+            core.set_limit("t", limit)
             core.free("t", 0.0)
             parts.append(core.accounts["t"].part)
         assert sum(parts) == limit
@@ -139,7 +139,7 @@
     core = opened()
     now = 10_000.0
     assert all(core.take("t", now) for _ in range(4)) and not core.take("t", now)
-    core.know("t", 4)
+    core.set_limit("t", 4)
     core.release("t")
     core.release("t")
     assert not core.take("t", now)
@@ -155,21 +155,21 @@
 
 
 def an_owner_does_not_wait_for_requests_to_end(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Terms, "out_ms", property(lambda self: self.life_ms))
+    patch.setattr(SlotTerms, "outstanding_ms", property(lambda self: self.loan_ms))
 
 
 def all_is_there_at_once_after_a_start(patch: pytest.MonkeyPatch) -> None:
-    before = Holds.__init__
+    before = ConcurrencyLimits.__init__
 
-    def begin(self: Holds, *rest: Any) -> None:
+    def begin(self: ConcurrencyLimits, *rest: Any) -> None:
         before(self, *rest)
         self.opens_at = rest[-1]
 
-    patch.setattr(Holds, "__init__", begin)
+    patch.setattr(ConcurrencyLimits, "__init__", begin)
 
 
 def the_own_place_is_freed_first(patch: pytest.MonkeyPatch) -> None:
-    def release(self: Holds, key: str) -> None:
+    def release(self: ConcurrencyLimits, key: str) -> None:
         account = self.accounts[key]
         if account.own:
             account.own -= 1
@@ -178,7 +178,7 @@
             if lots:
                 lots[0].taken -= 1
 
-    patch.setattr(Holds, "release", release)
+    patch.setattr(ConcurrencyLimits, "release", release)
 
 
 def a_doubled_question_is_answered_anew(patch: pytest.MonkeyPatch) -> None:
@@ -207,17 +207,17 @@
 
 
 def test_a_grant_of_another_or_after_its_time_is_none() -> None:
-    core = Holds("p2", ("p1", "p2"), TERMS, random.Random(1), 0.0)
-    core.know("t", 8)
+    core = ConcurrencyLimits("p2", ("p1", "p2"), TERMS, random.Random(1), 0.0)
+    core.set_limit("t", 8)
     for _ in range(5):
         core.take("t", 10_000.0)
     core.free("t", 10_000.0)
     ((owner, want),) = core.tick(10_000.0, ["p1"])
-    grant = Grant(want.number, (Lent("t", 2),))
-    core.granted(10_001.0, "p9", grant)
+    grant = LoanGrant(want.number, (Lent("t", 2),))
+    core.handle_loan_grant(10_001.0, "p9", grant)
     ((owner, want),) = core.tick(10_050.0, ["p1"])
-    core.granted(10_050.0 + TERMS.life_ms, owner, Grant(want.number, (Lent("t", 2),)))
+    core.handle_loan_grant(10_050.0 + TERMS.loan_ms, owner, LoanGrant(want.number, (Lent("t", 2),)))
     assert not core.accounts["t"].lots
     ((owner, want),) = core.tick(10_600.0, ["p1"])
-    core.granted(10_600.0 + TERMS.life_ms - 1.0, owner, Grant(want.number, (Lent("t", 2),)))
-    assert core.accounts["t"].lots["p1"] == [Lot(10_600.0 + TERMS.life_ms, want.number, 2)]
+    core.handle_loan_grant(10_600.0 + TERMS.loan_ms - 1.0, owner, LoanGrant(want.number, (Lent("t", 2),)))
+    assert core.accounts["t"].lots["p1"] == [Lot(10_600.0 + TERMS.loan_ms, want.number, 2)]
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from notchflow.cluster.actions import Action, Datagram, Exchange, Keep, Tell
+from notchflow.cluster.actions import Action, Datagram, Exchange, PersistIncarnation, MembershipEvent
 from notchflow.cluster.contacts import Contacts, Link
-from notchflow.cluster.count import Count
+from notchflow.cluster.fleet_size import FleetSize
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import Ack, Denial, Gossip, Message, Ping, Sync, Update
-from notchflow.cluster.model import Life, Record, Settings, Standing, State
-from notchflow.cluster.standpoint import Sender
+from notchflow.cluster.model import Incarnation, Record, Settings, Standing, State
+from notchflow.cluster.local_state import Sender
 from notchflow.cluster.suspicion import Suspicion
-from notchflow.cluster.tenure import Hold
+from notchflow.cluster.name_claim import ClaimState
 from notchflow.cluster.view import View
 
 ROSTER = ("p1", "p2", "p3", "p4")
@@ -25,7 +25,7 @@
 def record(
     name: str, state: State = State.ALIVE, revision: int = 0, epoch: int = 10, nonce: int = 1
 ) -> Record:
-    return Record(name, Life(epoch, nonce), revision, state, f"{name}:1", "1")
+    return Record(name, Incarnation(epoch, nonce), revision, state, f"{name}:1", "1")
 
 
 class One:
@@ -34,33 +34,33 @@
     def __init__(self, roster: tuple[str, ...] = ROSTER, joined: bool = True) -> None:
         self.core = Members(record("p1"), roster, SETTINGS, random.Random(1), ["127.0.0.1:9"])
         self.now = 1_000.0
-        self.told: list[Tell] = []
+        self.told: list[MembershipEvent] = []
         self.sent: list[Datagram] = []
-        self.kept: list[Life] = []
+        self.kept: list[Incarnation] = []
         self.asked: list[Exchange] = []
         self.take(self.core.start(self.now))
         if joined:
             whole = Sync(tuple(record(name) for name in roster if name != "p1"), True)
-            self.take(self.core.answered(self.now, self.sender("p2"), whole))
+            self.take(self.core.handle_sync_reply(self.now, self.sender("p2"), whole))
 
     def take(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Tell():
+                case MembershipEvent():
                     self.told.append(action)
                 case Datagram():
                     self.sent.append(action)
-                case Keep(life):
+                case PersistIncarnation(life):
                     self.kept.append(life)
                 case Exchange():
                     self.asked.append(action)
 
     @staticmethod
     def sender(name: str, epoch: int = 10, nonce: int = 1) -> Sender:
-        return Sender(name, Life(epoch, nonce))
+        return Sender(name, Incarnation(epoch, nonce))
 
     def hear(self, name: str, body: Message, epoch: int = 10, nonce: int = 1) -> None:
-        self.take(self.core.received(self.now, self.sender(name, epoch, nonce), body))
+        self.take(self.core.handle_message(self.now, self.sender(name, epoch, nonce), body))
 
     def run(self, ms: float, answering: tuple[str, ...] = ()) -> None:
         """Time goes by; these answer their probes at once."""
@@ -87,7 +87,7 @@
         return self.core.view.state(name)
 
     def kinds(self) -> list[str]:
-        return [tell.more["kind"] for tell in self.told if tell.what == "disagree"]
+        return [tell.details["kind"] for tell in self.told if tell.what == "disagree"]
 
 
 def test_views_are_equal_whatever_the_order_in_which_news_come() -> None:
@@ -160,8 +160,8 @@
     assert one.state("p2") is State.SUSPECT
     one.now += 60_000.0
     one.take(one.core.tick(one.now))
-    assert one.state("p2") is State.SUSPECT and one.core.awareness.factor == SETTINGS.awareness_max
-    assert [tell.more["ms"] > 59_000 for tell in one.told if tell.what == "slept"] == [True]
+    assert one.state("p2") is State.SUSPECT and one.core.local_health.factor == SETTINGS.local_health_max
+    assert [tell.details["ms"] > 59_000 for tell in one.told if tell.what == "slept"] == [True]
     one.hear("p2", Gossip((Update(record("p2", State.ALIVE, 1)),)))
     assert one.state("p2") is State.ALIVE
 
@@ -195,7 +195,7 @@
     contacts.acked("p2", 1_000.0)
     assert contacts.reached(3_000.0) == ["p2"] and contacts.reached(3_001.0) == []
     contacts.acked("p2", 500.0)
-    assert contacts.of["p2"].acked == 1_000.0, "an older one takes nothing back"
+    assert contacts.by_name["p2"].acked == 1_000.0, "an older one takes nothing back"
 
 
 def test_half_of_the_roster_is_no_majority_and_members_that_left_count_in_it() -> None:
@@ -220,7 +220,7 @@
             held = {n: one.core.view.get(n) for n in ("p2", "p3")}
             news = [Update(record(n, State.ALIVE, r.revision + 1)) for n, r in held.items() if r is not None]
             one.hear("p4", Gossip(tuple(news)))
-    links = {tell.subject: tell.more["link"] for tell in one.told if tell.what == "link"}
+    links = {tell.subject: tell.details["link"] for tell in one.told if tell.what == "link"}
     assert links["p2"] == Link.DEAF.value and links["p3"] == Link.CUT.value and "p4" not in links
 
 
@@ -239,32 +239,32 @@
 
 def test_a_newer_life_of_the_name_takes_it_and_gives_it_back_when_it_has_ended() -> None:
     one = One()
-    assert one.core.takes()
+    assert one.core.accepts_requests()
     one.hear("p2", Gossip((Update(record("p1", epoch=20)),)))
-    assert not one.core.takes() and one.core.tenure.hold is Hold.CONTESTED
+    assert not one.core.accepts_requests() and one.core.name_claim.state is ClaimState.CONTESTED
     one.run(2_000.0)
     assert one.asked, "it asks what has become of that one"
     one.hear("p2", Gossip((Update(record("p1", State.DEAD, epoch=20)),)))
-    assert one.core.takes() and one.core.tenure.life.epoch == 21 and one.kept == [one.core.tenure.life]
+    assert one.core.accepts_requests() and one.core.name_claim.incarnation.epoch == 21 and one.kept == [one.core.name_claim.incarnation]
 
 
 def test_a_start_with_a_lost_folder_and_an_early_clock_rises_over_the_life_that_is_known() -> None:
     one = One(joined=False)
-    assert not one.core.takes()
+    assert not one.core.accepts_requests()
     known = Sync((record("p1", epoch=5_000), record("p2")), True)
-    one.take(one.core.answered(one.now, one.sender("p2"), known))
-    assert one.core.takes() and one.core.tenure.life.epoch == 5_001 and one.kept[0].epoch == 5_001
+    one.take(one.core.handle_sync_reply(one.now, one.sender("p2"), known))
+    assert one.core.accepts_requests() and one.core.name_claim.incarnation.epoch == 5_001 and one.kept[0].epoch == 5_001
 
 
 def test_lives_of_one_epoch_are_told_apart_by_their_draws_and_equal_ones_are_drawn_anew() -> None:
     one = One()
     one.hear("p1", Ping(1), nonce=0)
-    assert one.core.takes(), "the other one is older"
+    assert one.core.accepts_requests(), "the other one is older"
     one.hear("p1", Ping(1), nonce=2)
-    assert not one.core.takes(), "the other one is newer"
+    assert not one.core.accepts_requests(), "the other one is newer"
     twin = One()
     twin.hear("p1", Ping(1))
-    assert twin.core.takes() and twin.core.tenure.life > Life(10, 1)
+    assert twin.core.accepts_requests() and twin.core.name_claim.incarnation > Incarnation(10, 1)
 
 
 def test_a_former_life_is_told_so_and_nothing_of_it_is_taken() -> None:
@@ -274,7 +274,7 @@
     one.hear("p2", Gossip((Update(record("p3", State.DEAD)),)), epoch=10)
     assert one.state("p3") is State.ALIVE and one.kinds() == ["two-instances"]
     answer = one.sent[first].body
-    assert isinstance(answer, Gossip) and answer.news[0].record.life.epoch == 20
+    assert isinstance(answer, Gossip) and answer.news[0].record.incarnation.epoch == 20
     number = next(iter(one.core.probes.out), None)
     if number is not None:
         one.hear("p2", Ack(number), epoch=10)
@@ -287,7 +287,7 @@
     number = (
         next(n for n, probe in one.core.probes.out.items() if probe.target == "p2")
         if any(p.target == "p2" for p in one.core.probes.out.values())
-        else one.core.probes.begin("p2", Life(10, 1), one.now, 200.0, one.now + 400.0)
+        else one.core.probes.begin("p2", Incarnation(10, 1), one.now, 200.0, one.now + 400.0)
     )
     for _ in range(2):
         one.hear("p3", Ack(number))
@@ -314,26 +314,26 @@
 
 def test_an_instance_by_itself_holds_its_name_at_once() -> None:
     one = One(("p1",), joined=False)
-    assert one.core.takes() and one.core.standing(one.now) is Standing.WHOLE and not one.asked
+    assert one.core.accepts_requests() and one.core.standing(one.now) is Standing.WHOLE and not one.asked
 
 
 def test_nobody_to_be_found_is_waited_for_only_so_long() -> None:
     one = One(joined=False)
     one.run(SETTINGS.join_ms - 1)
-    assert not one.core.takes()
+    assert not one.core.accepts_requests()
     one.run(2)
-    assert one.core.takes() and one.core.standing(one.now) is Standing.ALONE and len(one.asked) >= 2
+    assert one.core.accepts_requests() and one.core.standing(one.now) is Standing.ALONE and len(one.asked) >= 2
 
 
 def test_the_number_of_proxies_follows_slowly_down_soon_up_and_never_from_a_minority() -> None:
-    count = Count(4)
+    count = FleetSize(4)
     at = 0.0
 
     def look(ms: float, living: int, standing: Standing = Standing.MAJORITY) -> int:
         nonlocal at
         for _ in range(int(ms / 250)):
             at += 250.0
-            count.look(at, living, standing)
+            count.observe(at, living, standing)
         return count.value
 
     assert look(29_000, 3) == 4 and look(2_000, 3) == 3
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -26,13 +26,13 @@
     Update,
     Window,
     _code,
-    seal,
-    unseal,
+    encode_message,
+    decode_message,
 )
-from notchflow.cluster.model import Life, Record, State
+from notchflow.cluster.model import Incarnation, Record, State
 
 SECRET, OTHER = b"s" * 32, b"o" * 32
-RECORD = Record("p2", Life(1_796_000_000_000, 1 << 61), 3, State.SUSPECT, "127.0.0.1:7946", "0.1.0")
+RECORD = Record("p2", Incarnation(1_796_000_000_000, 1 << 61), 3, State.SUSPECT, "127.0.0.1:7946", "0.1.0")
 BODIES: tuple[Message, ...] = (
     Ping(7, 8, 9, (Update(RECORD, "p3"),)),
     Ack(7, 8, 9, "p4", (Update(RECORD),)),
@@ -45,65 +45,65 @@
 
 
 def enveloped(body: Message) -> Envelope:
-    return Envelope("p1", Life(5, 6), 9, "p2", body)
+    return Envelope("p1", Incarnation(5, 6), 9, "p2", body)
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_a_message_comes_as_it_was_sent(body: Message) -> None:
-    assert unseal(SECRET, seal(SECRET, enveloped(body))) == enveloped(body)
+    assert decode_message(SECRET, encode_message(SECRET, enveloped(body))) == enveloped(body)
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_a_message_cut_at_any_byte_is_foreign(body: Message) -> None:
-    data = seal(SECRET, enveloped(body))
+    data = encode_message(SECRET, enveloped(body))
     for size in range(len(data)):
         with pytest.raises(Foreign):
-            unseal(SECRET, data[:size])
+            decode_message(SECRET, data[:size])
 
 
 def test_a_message_changed_at_any_byte_or_of_another_secret_is_turned_down() -> None:
-    data = seal(SECRET, enveloped(BODIES[0]))
+    data = encode_message(SECRET, enveloped(BODIES[0]))
     for place in range(len(data)):
         changed = bytes([*data[:place], data[place] ^ 0x41, *data[place + 1 :]])
         with pytest.raises((Foreign, UnknownVersion)):
-            unseal(SECRET, changed)
+            decode_message(SECRET, changed)
     with pytest.raises(Foreign):
-        unseal(OTHER, data)
+        decode_message(OTHER, data)
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_turned_down_and_nothing_else_happens(data: bytes) -> None:
     with pytest.raises((Foreign, UnknownVersion)):
-        unseal(SECRET, data)
+        decode_message(SECRET, data)
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_under_the_secret_are_a_message_or_malformed(data: bytes) -> None:
     signed = bytes((VERSION,)) + data
     try:
-        unseal(SECRET, signed + _code(SECRET, signed))
+        decode_message(SECRET, signed + _code(SECRET, signed))
     except (Malformed, Foreign):
         pass
 
 
 def test_a_later_version_is_told_apart_from_foreign_bytes() -> None:
     with pytest.raises(UnknownVersion, match="9"):
-        unseal(SECRET, b"\x09" + seal(SECRET, enveloped(Nack(1)))[1:])
+        decode_message(SECRET, b"\x09" + encode_message(SECRET, enveloped(Nack(1)))[1:])
 
 
 def test_fields_that_a_later_writer_adds_are_ignored_and_those_left_out_have_defaults() -> None:
     later = msgspec.msgpack.encode(["p1", [5, 6], 9, "p2", [1, 7, 8, 9, [], "new"], "more"])
     data = bytes((VERSION,)) + later
-    assert unseal(SECRET, data + _code(SECRET, data)).body == Ping(7, 8, 9)
+    assert decode_message(SECRET, data + _code(SECRET, data)).body == Ping(7, 8, 9)
     earlier = bytes((VERSION,)) + msgspec.msgpack.encode(["p1", [5, 6], 9, "p2", [1, 7]])
-    assert unseal(SECRET, earlier + _code(SECRET, earlier)).body == Ping(7)
+    assert decode_message(SECRET, earlier + _code(SECRET, earlier)).body == Ping(7)
 
 
 @pytest.mark.parametrize("name", ["", "p" * 64, "a b", "../x"])
 def test_a_name_that_is_none_is_malformed(name: str) -> None:
     data = bytes((VERSION,)) + msgspec.msgpack.encode([name, [5, 6], 9, "p2", [4, 7]])
     with pytest.raises(Malformed):
-        unseal(SECRET, data + _code(SECRET, data))
+        decode_message(SECRET, data + _code(SECRET, data))
 
 
 @given(st.lists(st.integers(0, 3_000), max_size=200))
@@ -125,18 +125,18 @@
     queue = Queue(4)
     for number in range(100):
         name = f"p{number}".ljust(63, "x")
-        queue.put(Update(Record(name, Life(1 << 62, 1 << 62), 1 << 40, State.DEAD, "a" * 60, "v" * 20), name))
+        queue.put(Update(Record(name, Incarnation(1 << 62, 1 << 62), 1 << 40, State.DEAD, "a" * 60, "v" * 20), name))
     news = queue.take(100, Update(RECORD))
     assert len(news) > 2 and news[0] == Update(RECORD)
     body = Ping(1 << 62, (1 << 63) - 1, (1 << 63) - 1, news)
-    envelope = Envelope("p" * 63, Life(1 << 62, 1 << 62), 1 << 62, "q" * 63, body)
-    assert ROOM < len(seal(SECRET, envelope)) <= DATAGRAM_MAX
+    envelope = Envelope("p" * 63, Incarnation(1 << 62, 1 << 62), 1 << 62, "q" * 63, body)
+    assert ROOM < len(encode_message(SECRET, envelope)) <= DATAGRAM_MAX
 
 
 def test_newer_news_take_the_place_of_older_and_each_goes_out_a_bounded_number_of_times() -> None:
     queue = Queue(4)
     queue.put(Update(RECORD, "p1"))
-    dead = Record(RECORD.name, RECORD.life, RECORD.revision, State.DEAD, RECORD.address, RECORD.version)
+    dead = Record(RECORD.name, RECORD.incarnation, RECORD.revision, State.DEAD, RECORD.address, RECORD.version)
     queue.put(Update(dead))
     sent = 0
     while queue:
--- a/tests/faults/test_processes.py
+++ b/tests/faults/test_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from notchflow.cluster.histories import table
+from notchflow.cluster.histories import format_lines
 from notchflow.faults import checks
 from notchflow.faults.rig import AT_THE_END_MS, SLACK_MS, Outcome, Rig
 from notchflow.faults.schedule import Schedule, draw
@@ -39,7 +39,7 @@
     """What is needed to see why a play failed."""
     lost = [line for line in outcome.lines if line["what"] == "lost"]
     logs = [f"{name}: {text}" for name, text in outcome.logs.items()]
-    return "\n".join([plan.toml(), *table(outcome.lines, 60), *table(lost), *logs])
+    return "\n".join([plan.toml(), *format_lines(outcome.lines, 60), *format_lines(lost), *logs])
 
 
 def served(outcome: Outcome) -> int:
--- a/tests/faults/test_rules.py
+++ b/tests/faults/test_rules.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from notchflow.cluster.histories import Line, table
+from notchflow.cluster.histories import HistoryLine, format_lines
 from notchflow.faults import versions
 from notchflow.faults.checks import MS
 from notchflow.faults.rig import Outcome, Rig
@@ -25,7 +25,7 @@
 
 def play(folder: Path, plan: Schedule) -> Outcome:
     outcome = asyncio.run(Rig(folder, plan, 5.0, AGREE).play())
-    assert outcome.broken == [], "\n".join([plan.toml(), *table(outcome.lines, 60)])
+    assert outcome.broken == [], "\n".join([plan.toml(), *format_lines(outcome.lines, 60)])
     done = [call for call in versions.calls(outcome.lines) if call.status == 200]
     assert {call.kind for call in done} == {"change", "read"}
     whole = next(line["t"] for line in outcome.lines if line["what"] == "whole")
@@ -67,7 +67,7 @@
 
 
 # -- the checks themselves, by histories that break them
-def line(at: float, what: str, **more: Any) -> Line:
+def line(at: float, what: str, **more: Any) -> HistoryLine:
     return {"t": int(at * MS), "who": "rig", "what": what, **more}
 
 
@@ -79,7 +79,7 @@
     state: str = "",
     kind: str = "change",
     name: str = "",
-) -> list[Line]:
+) -> list[HistoryLine]:
     wanted = {"state": state} if kind == "change" else {}
     return [
         line(begun, "calling", id=number, instance="p1", kind=kind, **wanted),
@@ -95,7 +95,7 @@
     ]
 
 
-def rules(lines: list[Line]) -> set[str]:
+def rules(lines: list[HistoryLine]) -> set[str]:
     ordered = sorted(lines, key=lambda one: int(one["t"]))
     return {
         b.rule for b in [*versions.linearizable(ordered), *versions.suspended_in_time(ordered, BOUND, SLACK)]
@@ -118,7 +118,7 @@
 def test_a_tenant_that_is_served_too_long_after_its_suspension_is_found() -> None:
     held = called(1, 0, 10, 2, "suspended")
 
-    def served(at: float) -> list[Line]:
+    def served(at: float) -> list[HistoryLine]:
         return [line(at, "asking", id="9"), line(at + 5, "answer", id="9", instance="p2", status=200)]
 
     assert rules([*held, *served(10 + BOUND)]) == set()
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from notchflow.cluster.histories import Line
+from notchflow.cluster.histories import HistoryLine
 from notchflow.faults import checks
 from notchflow.faults.rig import broken
 from notchflow.faults.schedule import Schedule, decode, draw, load
@@ -154,7 +154,7 @@
 
 
 # -- checks, each by a history that holds and one event that breaks it
-def line(at: float, who: str, what: str, **more: Any) -> Line:
+def line(at: float, who: str, what: str, **more: Any) -> HistoryLine:
     return {"t": int(at * MS), "who": who, "incarnation": "1.a", "what": what, **more}
 
 
@@ -163,7 +163,7 @@
 
 
 def test_a_life_that_returns_is_found() -> None:
-    def of_p2(at: float, what: str, life: str) -> Line:
+    def of_p2(at: float, what: str, life: str) -> HistoryLine:
         return line(at, "p1", what, subject="p2", life=life)
 
     held = [
