--- a/notchflow/cluster/agreement/edge.py
+++ b/notchflow/cluster/agreement/driver.py
@@ -12,22 +12,22 @@
 from collections.abc import Callable, Sequence
 from typing import Final, Protocol
 
-from notchflow.cluster.agreement.keep import Base, Keep
+from notchflow.cluster.agreement.storage import Base, Keep
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Batch, Role, Snapshot
-from notchflow.cluster.agreement.session import Session, Terms
+from notchflow.cluster.agreement.session import Session, SessionSettings
 from notchflow.cluster.agreement.wire import (
-    Append,
-    Appended,
-    Certain,
-    Kind,
-    Offer,
-    Offered,
-    Piece,
-    Pieced,
-    Sure,
-    Vote,
-    Voted,
+    AppendEntries,
+    AppendEntriesResponse,
+    ReadIndex,
+    EntryKind,
+    Propose,
+    ProposeResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    ReadIndexResponse,
+    RequestVote,
+    RequestVoteResponse,
 )
 from notchflow.cluster.transport import ClusterTransport
 from notchflow.cluster.messages import Message
@@ -62,18 +62,18 @@
 class Agreement:
     """One instance's part, running."""
 
-    def __init__(self, edge: ClusterTransport, raft: Raft, terms: Terms, keep: Keep, rules: Rules) -> None:
+    def __init__(self, edge: ClusterTransport, raft: Raft, terms: SessionSettings, keep: Keep, rules: Rules) -> None:
         self.edge, self.raft, self.keep, self.rules = edge, raft, keep, rules
         self.session = Session(raft, terms, edge.now())
-        self.session.applied(rules.at())
+        self.session.mark_applied(rules.at())
         self.queue: deque[Batch] = deque()
         self.writing = self.putting = self.dumping = False
         self.timer: asyncio.TimerHandle | None = None
         self.armed = float("inf")
         self.told = ("", 0)
         self.stopped = False
-        edge.handlers |= dict.fromkeys((Vote, Voted, Append, Appended, Piece, Pieced), self._said)
-        edge.handlers |= dict.fromkeys((Certain, Sure, Offer, Offered), self._asked)
+        edge.handlers |= dict.fromkeys((RequestVote, RequestVoteResponse, AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse), self._said)
+        edge.handlers |= dict.fromkeys((ReadIndex, ReadIndexResponse, Propose, ProposeResponse), self._asked)
 
     def start(self) -> None:
         self.raft.start(self.edge.now())
@@ -89,11 +89,11 @@
     # -- what is wanted
     def holds(self, now: float) -> bool:
         """Whether this instance may act on the rules that are in force here."""
-        return self.session.lease.holds(now)
+        return self.session.lease.is_valid(now)
 
     def ask(self) -> int:
         """The answer comes in a later turn of the loop, whenever it is known."""
-        number = self.session.ask(self.edge.now())
+        number = self.session.read_index(self.edge.now())
         self.edge.loop.call_soon(self._step)
         return number
 
@@ -103,7 +103,7 @@
         return number
 
     def settled(self, number: int) -> None:
-        self.session.settled(number)
+        self.session.finish_proposal(number)
 
     @property
     def leads(self) -> bool:
@@ -112,15 +112,15 @@
     # -- events
     def _said(self, now: float, sender: Sender, body: Message) -> Message | None:
         if not self.stopped:
-            assert isinstance(body, Vote | Voted | Append | Appended | Piece | Pieced)
-            self.raft.received(now, sender.name, body)
+            assert isinstance(body, RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | InstallSnapshotResponse)
+            self.raft.handle_message(now, sender.name, body)
             self._step()
         return None
 
     def _asked(self, now: float, sender: Sender, body: Message) -> Message | None:
         if not self.stopped:
-            assert isinstance(body, Certain | Sure | Offer | Offered)
-            self.session.received(now, sender.name, body)
+            assert isinstance(body, ReadIndex | ReadIndexResponse | Propose | ProposeResponse)
+            self.session.handle_message(now, sender.name, body)
             self._step()
         return None
 
@@ -135,18 +135,18 @@
         if self.stopped:
             return
         now = self.edge.now()
-        self.session.round_done(now)
+        self.session.collect_reads(now)
         while True:
-            batch = self.raft.take()
-            if not batch.writes and not batch.sends:
+            batch = self.raft.take_batch()
+            if not batch.needs_write and not batch.messages:
                 break
             self.queue.append(batch)
         self._write()
-        for to, body in self.session.sends:
+        for to, body in self.session.outbox:
             self.edge.send(to, body)
-        self.session.sends.clear()
+        self.session.outbox.clear()
         self._put()
-        certain, self.session.certain = self.session.certain, []
+        certain, self.session.read_results = self.session.read_results, []
         for number, index in certain:
             self.rules.certain(number, index)
         if self.told != (self.raft.leader, self.raft.term):
@@ -155,7 +155,7 @@
         self._arm(now)
 
     def _arm(self, now: float) -> None:
-        due = self.session.expected
+        due = self.session.next_timer_at
         if due == self.armed or self.stopped:
             return
         if self.timer is not None:
@@ -168,7 +168,7 @@
     def _write(self) -> None:
         while self.queue and not self.writing:
             batch = self.queue[0]
-            if not batch.writes:
+            if not batch.needs_write:
                 self._sent(self.queue.popleft())
                 continue
             self.writing = True
@@ -182,7 +182,7 @@
         if not well:
             self._failed(StoreError("a snapshot cannot be taken over"))
             return
-        self.session.applied(self.rules.at())
+        self.session.mark_applied(self.rules.at())
         self._submit(self.queue[0])
 
     def _submit(self, batch: Batch) -> None:
@@ -200,7 +200,7 @@
         batch = self.queue.popleft()
         self.writing = False
         self._sent(batch)
-        self.raft.saved(batch.last, batch.last_term)
+        self.raft.mark_durable(batch.last_index, batch.last_term)
         self._step()
 
     def _failed(self, error: StoreError) -> None:
@@ -215,7 +215,7 @@
 
     def _sent(self, batch: Batch) -> None:
         if not self.raft.silent:
-            for to, body in batch.sends:
+            for to, body in batch.messages:
                 self.edge.send(to, body)
 
     # -- the state
@@ -224,14 +224,14 @@
         if self.putting or self.stopped or self.raft.silent or loading:
             return
         first = self.rules.at() + 1
-        last = min(self.raft.appliable, first + APPLY_MOST - 1)
-        if last < first or first <= self.raft.log.base:
+        last = min(self.raft.applicable_index, first + APPLY_MOST - 1)
+        if last < first or first <= self.raft.log.base_index:
             self._snapshot()
             return
         entries = []
         for index in range(first, last + 1):
-            entry = self.raft.log.at(index)
-            entries.append((index, entry.term, entry.data if entry.kind is Kind.CHANGE else None))
+            entry = self.raft.log.entry_at(index)
+            entries.append((index, entry.term, entry.data if entry.kind is EntryKind.COMMAND else None))
         self.putting = True
         self.rules.put(entries, self._in_force)
 
@@ -243,8 +243,8 @@
             self._failed(StoreError("entries cannot be put in force"))
             return
         at = self.rules.at()
-        self.session.applied(at)
-        if at - self.raft.log.base >= COMPACT_AT:
+        self.session.mark_applied(at)
+        if at - self.raft.log.base_index >= COMPACT_AT:
             self._compact(at)
         self._step()
 
@@ -252,7 +252,7 @@
         """The state is durable by itself: of the log only what others may lack is kept."""
         raft = self.raft
         raft.compact(at)
-        base = Base(raft.log.base, raft.log.base_term, raft.base_roster)
+        base = Base(raft.log.base_index, raft.log.base_term, raft.base_roster)
         try:
             self.keep.rebase(base, lambda problem: self._failed(problem) if problem is not None else None)
         except StoreError as error:
@@ -260,12 +260,12 @@
 
     def _snapshot(self) -> None:
         """One that is far behind needs the whole."""
-        if self.raft.wants_snapshot and not self.dumping:
+        if self.raft.needs_snapshot and not self.dumping:
             self.dumping = True
             self.rules.dump(self._dumped)
 
     def _dumped(self, index: int, term: int, data: bytes) -> None:
         self.dumping = False
         if not self.stopped:
-            self.raft.give_snapshot(self.edge.now(), Snapshot(index, term, self.raft.roster, data))
+            self.raft.provide_snapshot(self.edge.now(), Snapshot(index, term, self.raft.roster, data))
             self._step()
--- a/notchflow/cluster/agreement/replica.py
+++ b/notchflow/cluster/agreement/replica.py
@@ -15,17 +15,17 @@
 
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.wire import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
-    Kind,
-    Piece,
-    Pieced,
-    Vote,
-    Voted,
+    EntryKind,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    RequestVote,
+    RequestVoteResponse,
 )
 
-Said: TypeAlias = Vote | Voted | Append | Appended | Piece | Pieced
+Said: TypeAlias = RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | InstallSnapshotResponse
 
 
 class Role(Enum):
@@ -36,24 +36,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class RaftSettings:
     """Milliseconds."""
 
     beat_ms: float = 100.0  # between two words of a leader
     election_ms: float = 500.0  # without a word of it, and up to twice that by draw
     stall_ms: float = 100.0  # a timer that is later than this was slept through
-    keep: int = 200  # entries kept behind a snapshot, for those that are a little behind
+    trailing_entries: int = 200  # entries kept behind a snapshot, for those that are a little behind
     ticket_ms: float = 1_000.0  # a vote is given for so long after it was said that it would be
-    drift: float = 1 / 200  # by which two clocks may differ
+    clock_drift: float = 1 / 200  # by which two clocks may differ
 
     @property
     def probation_ms(self) -> float:
         """After a start without a memory: till then votes that it has forgotten may still be of use."""
-        return self.ticket_ms * (1 + self.drift) ** 2 + self.ticket_ms / 10
+        return self.ticket_ms * (1 + self.clock_drift) ** 2 + self.ticket_ms / 10
 
 
 @dataclass(frozen=True, slots=True)
-class Hard:
+class HardState:
     """What must never be forgotten besides the log."""
 
     term: int = 0
@@ -76,17 +76,17 @@
     """What is to be made durable, all together, and then to be sent. `entries` take the place of all from
     `first` on; of a snapshot the log begins anew behind it."""
 
-    hard: Hard | None
-    first: int
+    hard_state: HardState | None
+    first_index: int
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None
-    sends: tuple[tuple[str, Said], ...]
-    last: int
+    messages: tuple[tuple[str, Said], ...]
+    last_index: int
     last_term: int
 
     @property
-    def writes(self) -> bool:
-        return self.hard is not None or bool(self.entries) or self.snapshot is not None
+    def needs_write(self) -> bool:
+        return self.hard_state is not None or bool(self.entries) or self.snapshot is not None
 
 
 class Replica:
@@ -96,26 +96,26 @@
         self,
         me: str,
         roster: Sequence[str],
-        settings: Settings,
+        settings: RaftSettings,
         rng: Random,
         now: float,
-        hard: Hard | None = None,
+        hard: HardState | None = None,
         log: Log | None = None,
         weight: int = 0,
     ) -> None:
         """`roster`: of the snapshot, or the one to begin with. `weight`: how much is known here where the log
         is empty: the first leader is one that knows most."""
-        self.me, self.settings, self.rng, self.weight = me, settings, rng, weight
-        hard = hard or Hard()
-        self.term, self.vote, self.joined = hard.term, hard.vote, hard.joined
+        self.name, self.settings, self.rng, self.weight = me, settings, rng, weight
+        hard = hard or HardState()
+        self.term, self.voted_for, self.joined = hard.term, hard.vote, hard.joined
         self.began = now
         self.log = log or Log()
         self.base_roster = tuple(sorted(set(roster)))
-        self.roster = self.log.roster(self.base_roster)
+        self.roster = self.log.latest_roster(self.base_roster)
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = self.log.base
-        self.durable = self.log.last
+        self.commit_index = self.log.base_index
+        self.durable = self.log.last_index
         self.now = now
         self.election_at = math.inf
         self.heard_at = -math.inf  # when the leader was heard
@@ -129,17 +129,17 @@
     def _send(self, to: str, body: Said) -> None:
         self.sends.append((to, body))
 
-    def take(self) -> Batch:
+    def take_batch(self) -> Batch:
         """What there is to write and to send since the last time."""
-        hard = Hard(self.term, self.vote, self.joined)
-        first = int(min(self.changed_from, self.log.last + 1))
+        hard = HardState(self.term, self.voted_for, self.joined)
+        first = int(min(self.changed_from, self.log.last_index + 1))
         batch = Batch(
             hard if hard != self.saved_hard else None,
             first,
-            tuple(self.log.entries[first - self.log.base - 1 :]),
+            tuple(self.log.entries[first - self.log.base_index - 1 :]),
             self.installed,
             tuple(self.sends),
-            self.log.last,
+            self.log.last_index,
             self.log.last_term,
         )
         self.saved_hard, self.changed_from, self.installed = hard, math.inf, None
@@ -149,7 +149,7 @@
     # -- the log
     @property
     def others(self) -> list[str]:
-        return [name for name in self.roster if name != self.me]
+        return [name for name in self.roster if name != self.name]
 
     @property
     def majority(self) -> int:
@@ -158,32 +158,32 @@
     def _put(self, entry: Entry) -> int:
         index = self.log.append(entry)
         self.changed_from = min(self.changed_from, index)
-        if entry.kind is Kind.ROSTER:
-            self.roster = self.log.roster(self.base_roster)
+        if entry.kind is EntryKind.ROSTER:
+            self.roster = self.log.latest_roster(self.base_roster)
         return index
 
     def _cut(self, index: int) -> None:
         """Drops what no majority has agreed on."""
-        if index <= self.commit:
-            raise AssertionError(f"{self.me} would drop {index}, which is agreed up to {self.commit}")
+        if index <= self.commit_index:
+            raise AssertionError(f"{self.name} would drop {index}, which is agreed up to {self.commit_index}")
         self.log.cut(index)
         self.changed_from = min(self.changed_from, index)
         self.durable = min(self.durable, index - 1)
-        self.roster = self.log.roster(self.base_roster)
+        self.roster = self.log.latest_roster(self.base_roster)
 
     def _election_later(self, now: float) -> None:
         self.election_at = now + self.settings.election_ms * (1.0 + self.rng.random())
 
     @property
-    def appliable(self) -> int:
+    def applicable_index(self) -> int:
         """Up to where entries may be put in force here."""
-        return min(self.commit, self.durable)
+        return min(self.commit_index, self.durable)
 
     def compact(self, index: int) -> None:
         """A snapshot of the state at an index is durable: entries well before it are forgotten."""
-        index = min(index, self.appliable) - self.settings.keep
-        if index > self.log.base:
-            roster = Log(self.log.base, self.log.base_term, self.log.entries[: index - self.log.base]).roster(
+        index = min(index, self.applicable_index) - self.settings.trailing_entries
+        if index > self.log.base_index:
+            roster = Log(self.log.base_index, self.log.base_term, self.log.entries[: index - self.log.base_index]).latest_roster(
                 self.base_roster
             )
             self.log.compact(index)
--- a/notchflow/cluster/agreement/session.py
+++ b/notchflow/cluster/agreement/session.py
@@ -11,30 +11,30 @@
 from dataclasses import dataclass
 from typing import Final, TypeAlias
 
-from notchflow.cluster.agreement.leading import Busy, NotLeading
+from notchflow.cluster.agreement.leader import Busy, NotLeading
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Role
-from notchflow.cluster.agreement.wire import Certain, Offer, Offered, Sure
+from notchflow.cluster.agreement.wire import ReadIndex, Propose, ProposeResponse, ReadIndexResponse
 
 NUMBERS: Final = (1 << 62) - 1
-Asked: TypeAlias = Certain | Sure | Offer | Offered
+Asked: TypeAlias = ReadIndex | ReadIndexResponse | Propose | ProposeResponse
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SessionSettings:
     """What all instances must be set to alike. Milliseconds."""
 
     lease_ms: float = 4_000.0
     renew_ms: float = 1_000.0  # between two questions for the lease; sooner while there is none
     again_ms: float = 250.0  # an answer that has not come is asked for again
     patience_ms: float = 1_500.0  # then a question has failed
-    drift: float = 1 / 200
+    clock_drift: float = 1 / 200
     delivery_ms: float = 250.0  # from the look at the lease to the last act on it: a request's way to a box
 
     @property
-    def bound_ms(self) -> float:
+    def divergence_bound_ms(self) -> float:
         """For how long two instances may act on rules that contradict each other."""
-        return self.lease_ms * (1 + self.drift) + self.delivery_ms
+        return self.lease_ms * (1 + self.clock_drift) + self.delivery_ms
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
 class Lease:
     """Leave to act on the rules that are in force here."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: SessionSettings) -> None:
         self.terms = terms
         self.until = -math.inf
         self.waiting: list[tuple[int, float]] = []  # from this index on, until that time
@@ -73,14 +73,14 @@
                 self.until = max(self.until, until)
         self.waiting = [one for one in self.waiting if one[0] > index]
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         return now < self.until
 
 
 class Session:
     """One instance's questions and proposals, over its part in the agreement."""
 
-    def __init__(self, raft: Raft, terms: Terms, now: float) -> None:
+    def __init__(self, raft: Raft, terms: SessionSettings, now: float) -> None:
         self.raft, self.terms = raft, terms
         self.lease = Lease(terms)
         self.number = raft.rng.getrandbits(61)
@@ -88,11 +88,11 @@
         self.proposals: dict[int, Proposal] = {}
         self.renew_at = now
         self.applied_index = 0
-        self.sends: list[tuple[str, Asked]] = []
-        self.certain: list[tuple[int, int | None]] = []  # number, index or None where it failed
+        self.outbox: list[tuple[str, Asked]] = []
+        self.read_results: list[tuple[int, int | None]] = []  # number, index or None where it failed
 
     # -- what is wanted
-    def ask(self, now: float) -> int:
+    def read_index(self, now: float) -> int:
         """Up to where is agreed as of now? `certain` has the answer under this number."""
         return self._question(now, False)
 
@@ -110,12 +110,12 @@
         self._offer(now, self.number)
         return self.number
 
-    def settled(self, number: int) -> None:
+    def finish_proposal(self, number: int) -> None:
         self.proposals.pop(number, None)
 
     # -- time
     @property
-    def expected(self) -> float:
+    def next_timer_at(self) -> float:
         due = min(
             [
                 self.renew_at,
@@ -123,7 +123,7 @@
                 *(p.again_at for p in self.proposals.values()),
             ]
         )
-        return min(due, self.raft.expected)
+        return min(due, self.raft.next_timer_at)
 
     def tick(self, now: float) -> None:
         self.raft.tick(now)
@@ -137,17 +137,17 @@
             if now >= proposal.again_at:
                 self._offer(now, number)
         if now >= self.renew_at:
-            self.renew_at = now + (self.terms.renew_ms if self.lease.holds(now) else self.terms.again_ms)
+            self.renew_at = now + (self.terms.renew_ms if self.lease.is_valid(now) else self.terms.again_ms)
             self._question(now, True)
         self._own_answers(now)
 
     # -- the leader
     def _put(self, now: float, number: int) -> None:
         if self.raft.role is Role.LEADER:
-            self.raft.ask(now, self.raft.me, number)
+            self.raft.ask(now, self.raft.name, number)
             self._own_answers(now)
         elif self.raft.leader:
-            self.sends.append((self.raft.leader, Certain(number)))
+            self.outbox.append((self.raft.leader, ReadIndex(number)))
 
     def _offer(self, now: float, number: int) -> None:
         proposal = self.proposals[number]
@@ -161,24 +161,24 @@
             except Busy:
                 pass
         elif self.raft.leader:
-            self.sends.append((self.raft.leader, Offer(number, proposal.data)))
+            self.outbox.append((self.raft.leader, Propose(number, proposal.data)))
 
-    def received(self, now: float, sender: str, body: Asked) -> None:
+    def handle_message(self, now: float, sender: str, body: Asked) -> None:
         match body:
-            case Certain():
+            case ReadIndex():
                 try:
                     self.raft.ask(now, sender, body.number)
                 except NotLeading:
                     pass  # it asks again, whoever leads then
-            case Offer():
+            case Propose():
                 try:
                     index = self.raft.propose(now, body.data)
                 except (NotLeading, Busy):
                     index = 0
-                self.sends.append((sender, Offered(body.number, index)))
-            case Sure():
+                self.outbox.append((sender, ProposeResponse(body.number, index)))
+            case ReadIndexResponse():
                 self._answered(body.number, body.index)
-            case Offered():
+            case ProposeResponse():
                 proposal = self.proposals.get(body.number)
                 if proposal is not None:
                     proposal.index = body.index
@@ -187,10 +187,10 @@
     def _own_answers(self, now: float) -> None:
         """What has become certain at this leader."""
         for who, number, index in self.raft.take_certain():
-            if who == self.raft.me:
+            if who == self.raft.name:
                 self._answered(number, index)
             else:
-                self.sends.append((who, Sure(number, index)))
+                self.outbox.append((who, ReadIndexResponse(number, index)))
 
     def _answered(self, number: int, index: int | None) -> None:
         question = self.questions.pop(number, None)
@@ -200,13 +200,13 @@
             self.raft.sure(question.asked_at, index)
             self.lease.granted(question.asked_at, index, self.applied_index)
         if not question.renews:
-            self.certain.append((number, index))
+            self.read_results.append((number, index))
 
-    def round_done(self, now: float) -> None:
+    def collect_reads(self, now: float) -> None:
         """After messages for the core: what has become certain by them."""
         self._own_answers(now)
 
-    def applied(self, index: int) -> None:
+    def mark_applied(self, index: int) -> None:
         """All up to an index is in force here."""
         self.applied_index = index
         self.lease.applied(index)
--- a/notchflow/cluster/agreement/keep.py
+++ b/notchflow/cluster/agreement/storage.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from notchflow.cluster.agreement.log import Log
-from notchflow.cluster.agreement.replica import Batch, Hard
+from notchflow.cluster.agreement.replica import Batch, HardState
 from notchflow.cluster.agreement.wire import Entry
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Change, Engine, StoreError
@@ -43,7 +43,7 @@
 class Found:
     """What a start finds. `fit`: whether it can be relied on."""
 
-    hard: Hard
+    hard: HardState
     base: Base
     log: Log
     stored: tuple[int, int] = (0, 0)  # entries in the store: behind the first, up to the second
@@ -54,7 +54,7 @@
     the log's beginning was lost by itself: then nothing here can be relied on. A log that lies behind the
     state goes on from that, as what is in force is agreed. Damaged, OSError."""
     record = engine.read(HARD)
-    hard = Hard(*msgspec.msgpack.decode(record.value, type=tuple[int, str, bool])) if record else Hard()
+    hard = HardState(*msgspec.msgpack.decode(record.value, type=tuple[int, str, bool])) if record else HardState()
     record = engine.read(BASE)
     base = (
         Base(*msgspec.msgpack.decode(record.value, type=tuple[int, int, tuple[str, ...]]))
@@ -66,11 +66,11 @@
         entry: Entry = msgspec.msgpack.decode(record.value, type=Entry)
         entries.append(entry)
     found = Log(base.index, base.term, entries)
-    stored = base.index, found.last
+    stored = base.index, found.last_index
     if applied < base.index:
-        return Found(Hard(hard.term, hard.vote, False), Base(0, 0, roster), Log(), stored)
-    if applied > found.last or found.term(applied) != applied_term:
-        base = Base(applied, applied_term, found.roster(base.roster))
+        return Found(HardState(hard.term, hard.vote, False), Base(0, 0, roster), Log(), stored)
+    if applied > found.last_index or found.term_at(applied) != applied_term:
+        base = Base(applied, applied_term, found.latest_roster(base.roster))
         return Found(hard, base, Log(applied, applied_term), stored)
     return Found(hard, base, found, stored)
 
@@ -82,22 +82,22 @@
         self.committer = committer
         self.base = found.base
         self.stored_base, self.stored_last = found.stored
-        if found.stored != (found.base.index, found.log.last):  # what it has is not gone on with
+        if found.stored != (found.base.index, found.log.last_index):  # what it has is not gone on with
             committer.submit(self._based(found.base, True), _told)
 
     def write(self, batch: Batch, done: Callable[[StoreError | None], None]) -> None:
         """Backlogged, Broken."""
         changes: list[Change] = []
-        if batch.hard is not None:
-            hard = (batch.hard.term, batch.hard.vote, batch.hard.joined)
+        if batch.hard_state is not None:
+            hard = (batch.hard_state.term, batch.hard_state.vote, batch.hard_state.joined)
             changes.append(Change(Kind.PUT, HARD, msgspec.msgpack.encode(hard)))
         if batch.snapshot is not None:
             base = Base(batch.snapshot.index, batch.snapshot.term, batch.snapshot.roster)
             changes += self._based(base)
-        last = batch.first + len(batch.entries) - 1
+        last = batch.first_index + len(batch.entries) - 1
         for offset, entry in enumerate(batch.entries):
-            changes.append(Change(Kind.PUT, key_of(batch.first + offset), msgspec.msgpack.encode(entry)))
-        if batch.entries or batch.snapshot is not None or batch.first <= self.stored_last:
+            changes.append(Change(Kind.PUT, key_of(batch.first_index + offset), msgspec.msgpack.encode(entry)))
+        if batch.entries or batch.snapshot is not None or batch.first_index <= self.stored_last:
             changes += [Change(Kind.DELETE, key_of(index)) for index in range(last + 1, self.stored_last + 1)]
             self.stored_last = last
         self.committer.submit(changes, done)
--- a/notchflow/cluster/agreement/wire.py
+++ b/notchflow/cluster/agreement/wire.py
@@ -1,7 +1,7 @@
 """What instances say to one another to agree on a log. Pure.
 
-Names after Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, Stanford 2014): Vote and Voted are
-RequestVote, Append and Appended are AppendEntries, Piece and Pieced are InstallSnapshot in pieces.
+Names after Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, Stanford 2014): RequestVote and RequestVoteResponse are
+RequestVote, AppendEntries and AppendEntriesResponse are AppendEntries, InstallSnapshot and InstallSnapshotResponse are InstallSnapshot in pieces.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 ROSTER_MAX: Final = 1_000
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """What an entry is: nothing (a leader's first), a change of the rules, or the roster from here on."""
 
-    NOTHING = 0
-    CHANGE = 1
+    NOOP = 0
+    COMMAND = 1
     ROSTER = 2
 
 
@@ -33,14 +33,14 @@
     """One place of the log; its index is where it stands."""
 
     term: Number
-    kind: Kind = Kind.CHANGE
+    kind: EntryKind = EntryKind.COMMAND
     data: Annotated[bytes, msgspec.Meta(max_length=ENTRY_MAX)] = b""
 
 
 Roster = Annotated[tuple[Name, ...], msgspec.Meta(max_length=ROSTER_MAX)]
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag=20):
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=20):
     """Give me your vote for this term; or, `pre`, would you?"""
 
     term: Number
@@ -51,14 +51,14 @@
     ticket: Number = 0  # from the voter's own answer to `pre`, so that an old question gets no vote
 
 
-class Voted(msgspec.Struct, frozen=True, array_like=True, tag=21):
+class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag=21):
     term: Number
     granted: bool
     pre: bool = False
     ticket: Number = 0
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag=22):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=22):
     """Entries behind one that you have; and, without any, I lead. `round` is said back."""
 
     term: Number
@@ -69,7 +69,7 @@
     entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=ENTRIES_MAX)] = ()
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag=23):
+class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag=23):
     """`ok`: all up to `index` is as the leader has it, and durable. Else: try again from `index`."""
 
     term: Number
@@ -79,7 +79,7 @@
     counts: bool = True  # not one that has lost its disk and learns still
 
 
-class Piece(msgspec.Struct, frozen=True, array_like=True, tag=24):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=24):
     """A part of a snapshot that stands for the log up to an index."""
 
     term: Number
@@ -91,7 +91,7 @@
     data: Annotated[bytes, msgspec.Meta(max_length=PIECE_BYTES)]
 
 
-class Pieced(msgspec.Struct, frozen=True, array_like=True, tag=25):
+class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag=25):
     """Go on from this offset of that snapshot."""
 
     term: Number
@@ -100,28 +100,28 @@
     counts: bool = True
 
 
-class Certain(msgspec.Struct, frozen=True, array_like=True, tag=26):
-    """Up to where is agreed, for certain, as of now? Answered by Sure once a majority has said that the one
+class ReadIndex(msgspec.Struct, frozen=True, array_like=True, tag=26):
+    """Up to where is agreed, for certain, as of now? Answered by ReadIndexResponse once a majority has said that the one
     that is asked still leads."""
 
     number: Number
 
 
-class Sure(msgspec.Struct, frozen=True, array_like=True, tag=27):
+class ReadIndexResponse(msgspec.Struct, frozen=True, array_like=True, tag=27):
     """All that was agreed when you asked lies at or before this index."""
 
     number: Number
     index: Number
 
 
-class Offer(msgspec.Struct, frozen=True, array_like=True, tag=28):
+class Propose(msgspec.Struct, frozen=True, array_like=True, tag=28):
     """Put this change into the log."""
 
     number: Number
     data: Annotated[bytes, msgspec.Meta(max_length=ENTRY_MAX)]
 
 
-class Offered(msgspec.Struct, frozen=True, array_like=True, tag=29):
+class ProposeResponse(msgspec.Struct, frozen=True, array_like=True, tag=29):
     """Where it stands now, which says nothing of whether it stays; 0: the one that is asked does not lead."""
 
     number: Number
--- a/notchflow/cluster/messages.py
+++ b/notchflow/cluster/messages.py
@@ -14,16 +14,16 @@
 import msgspec
 
 from notchflow.cluster.agreement.wire import (
-    Append,
-    Appended,
-    Certain,
-    Offer,
-    Offered,
-    Piece,
-    Pieced,
-    Sure,
-    Vote,
-    Voted,
+    AppendEntries,
+    AppendEntriesResponse,
+    ReadIndex,
+    Propose,
+    ProposeResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    ReadIndexResponse,
+    RequestVote,
+    RequestVoteResponse,
 )
 from notchflow.cluster.model import NAMES_MAX, Incarnation, Name, Number, Record, Text
 
@@ -161,16 +161,16 @@
     | LoanGrant
     | MetricsUpdate
     | MetricsAck
-    | Vote
-    | Voted
-    | Append
-    | Appended
-    | Piece
-    | Pieced
-    | Certain
-    | Sure
-    | Offer
-    | Offered
+    | RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | ReadIndex
+    | ReadIndexResponse
+    | Propose
+    | ProposeResponse
 )
 
 
--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -18,14 +18,14 @@
 
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.raft import Raft
-from notchflow.cluster.agreement.replica import Batch, Hard, Settings, Snapshot
-from notchflow.cluster.agreement.session import Session, Terms
-from notchflow.cluster.agreement.wire import Certain, Entry, Kind, Offer, Offered, Sure
+from notchflow.cluster.agreement.replica import Batch, HardState, RaftSettings, Snapshot
+from notchflow.cluster.agreement.session import Session, SessionSettings
+from notchflow.cluster.agreement.wire import ReadIndex, Entry, EntryKind, Propose, ProposeResponse, ReadIndexResponse
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.members import between
 
 COMPACT_EVERY: Final = 8  # entries put in force between two snapshots
-FAST: Final = Settings(keep=4)
+FAST: Final = RaftSettings(trailing_entries=4)
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
@@ -47,7 +47,7 @@
     def apply(self, index: int, entry: Entry) -> Command | None:
         """The change, if it holds."""
         self.applied = index
-        if entry.kind is not Kind.CHANGE:
+        if entry.kind is not EntryKind.COMMAND:
             return None
         command: Command = msgspec.msgpack.decode(entry.data, type=Command)
         if command.base != self.version:
@@ -68,19 +68,19 @@
 class Disk:
     """What outlives a crash."""
 
-    hard: Hard = field(default_factory=Hard)
+    hard: HardState = field(default_factory=HardState)
     base: Snapshot | None = None
     entries: dict[int, Entry] = field(default_factory=dict)
 
     def write(self, batch: Batch) -> None:
-        if batch.hard is not None:
-            self.hard = batch.hard
+        if batch.hard_state is not None:
+            self.hard = batch.hard_state
         if batch.snapshot is not None:
             self.base = batch.snapshot
             self.entries = {i: e for i, e in self.entries.items() if i > batch.snapshot.index}
-        self.entries = {i: e for i, e in self.entries.items() if i < batch.first}
+        self.entries = {i: e for i, e in self.entries.items() if i < batch.first_index}
         for offset, entry in enumerate(batch.entries):
-            self.entries[batch.first + offset] = entry
+            self.entries[batch.first_index + offset] = entry
 
     def log(self) -> Log:
         base = self.base
@@ -125,7 +125,7 @@
         self.raft.start(now)
         self.session = world.make_session(self.raft, world.terms, now)
         self.machine = Machine.load(base.data) if base is not None else Machine()
-        self.session.applied(self.machine.applied)
+        self.session.mark_applied(self.machine.applied)
         self.queue: list[Batch] = []  # being written, in order
         self.seen: dict[str, int] = {}  # newest lives
         self.calls: dict[int, Operation] = {}  # reads and changes that wait to be certain
@@ -141,24 +141,24 @@
     def step(self) -> None:
         """After any event: writes, sends, applies, answers."""
         now = self.clock()
-        self.session.round_done(now)
+        self.session.collect_reads(now)
         while True:
-            batch = self.raft.take()
-            if not batch.writes and not batch.sends:
+            batch = self.raft.take_batch()
+            if not batch.needs_write and not batch.messages:
                 break
             self.queue.append(batch)
             if len(self.queue) == 1:
                 self._write()
-        for to, body in self.session.sends:
+        for to, body in self.session.outbox:
             self.world.send(self, to, body)
-        self.session.sends.clear()
+        self.session.outbox.clear()
         self._apply()
         self._answer()
         self._arm()
 
     def _write(self) -> None:
         """Batches go to the disk one after the other; what is sent waits for it."""
-        while self.queue and not self.queue[0].writes:
+        while self.queue and not self.queue[0].needs_write:
             self._sent(self.queue.pop(0))
         if self.queue and not self.broken:
             self.world.sim.after(self.world.disk_ms(), self._written, self.life)
@@ -173,44 +173,44 @@
         self.disk.write(batch)
         if batch.snapshot is not None:
             self.machine = Machine.load(batch.snapshot.data)
-            self.session.applied(self.machine.applied)
+            self.session.mark_applied(self.machine.applied)
             self._jumped()
         self._sent(batch)
-        self.raft.saved(batch.last, batch.last_term)
+        self.raft.mark_durable(batch.last_index, batch.last_term)
         self._write()
         self.step()
 
     def _sent(self, batch: Batch) -> None:
-        for to, body in batch.sends:
+        for to, body in batch.messages:
             self.world.send(self, to, body)
 
     def _apply(self) -> None:
         machine = self.machine
-        while machine.applied < self.raft.appliable:
+        while machine.applied < self.raft.applicable_index:
             index = machine.applied + 1
-            if index <= self.raft.log.base:
+            if index <= self.raft.log.base_index:
                 break  # a snapshot is on its way to the disk
-            entry = self.raft.log.at(index)
+            entry = self.raft.log.entry_at(index)
             command = machine.apply(index, entry)
             self.world.agreed(self.name, index, entry)
-            if entry.kind is Kind.CHANGE:
+            if entry.kind is EntryKind.COMMAND:
                 self._settle(msgspec.msgpack.decode(entry.data, type=Command), command is not None)
-        self.session.applied(machine.applied)
+        self.session.mark_applied(machine.applied)
         if (
-            self.raft.appliable - self.raft.log.base >= COMPACT_EVERY + self.world.settings.keep
-            and machine.applied > self.raft.log.base
+            self.raft.applicable_index - self.raft.log.base_index >= COMPACT_EVERY + self.world.settings.trailing_entries
+            and machine.applied > self.raft.log.base_index
         ):
             self._compact()
-        if self.raft.wants_snapshot and machine.applied >= self.raft.log.base:
-            self.raft.give_snapshot(self.clock(), self._snapshot())
+        if self.raft.needs_snapshot and machine.applied >= self.raft.log.base_index:
+            self.raft.provide_snapshot(self.clock(), self._snapshot())
 
     def _snapshot(self) -> Snapshot:
         index = self.machine.applied
-        term = self.raft.log.term(index)
+        term = self.raft.log.term_at(index)
         assert term is not None
         roster = Log(
-            0, 0, [e for i in range(self.raft.log.base + 1, index + 1) for e in [self.raft.log.at(i)]]
-        ).roster(self.raft.base_roster)
+            0, 0, [e for i in range(self.raft.log.base_index + 1, index + 1) for e in [self.raft.log.entry_at(i)]]
+        ).latest_roster(self.raft.base_roster)
         return Snapshot(index, term, roster, self.machine.dump())
 
     def _compact(self) -> None:
@@ -221,15 +221,15 @@
 
     # -- clients
     def call(self, operation: Operation) -> None:
-        self.calls[self.session.ask(self.clock())] = operation
+        self.calls[self.session.read_index(self.clock())] = operation
         self.step()
 
     def _answer(self) -> None:
-        for number, index in self.session.certain:
+        for number, index in self.session.read_results:
             operation = self.calls.pop(number, None)
             if operation is not None and index is not None:
                 self.later.append((index, operation))
-        self.session.certain.clear()
+        self.session.read_results.clear()
         ready = [one for index, one in self.later if index <= self.machine.applied]
         self.later = [one for one in self.later if one[0] > self.machine.applied]
         for operation in ready:
@@ -251,24 +251,24 @@
 
     def _over(self, operation: Operation, number: int, held: bool) -> None:
         del self.proposed[operation.id]
-        self.session.settled(number)
+        self.session.finish_proposal(number)
         if held:
             self.world.told(operation, self.machine.version)
         else:  # somebody else was first: once more
-            self.calls[self.session.ask(self.clock())] = operation
+            self.calls[self.session.read_index(self.clock())] = operation
 
     def _jumped(self) -> None:
         """The state came whole, without the entries that led to it."""
         for operation, base, number in list(self.proposed.values()):
             if operation.id in self.machine.ids:
                 del self.proposed[operation.id]  # its version is not known: the client learns nothing
-                self.session.settled(number)
+                self.session.finish_proposal(number)
             elif base != self.machine.version:
                 self._over(operation, number, False)
 
     # -- time
     def _arm(self) -> None:
-        due = self.session.expected
+        due = self.session.next_timer_at
         if due < math.inf and due != self.armed:
             self.armed = due
             self.world.sim.at(max((due - self.offset) / self.rate, self.world.sim.now), self.fire, due)
@@ -287,10 +287,10 @@
         if life < self.seen.get(sender, 0):
             return  # of a former life
         self.seen[sender] = life
-        if isinstance(body, Certain | Sure | Offer | Offered):
-            self.session.received(self.clock(), sender, body)
+        if isinstance(body, ReadIndex | ReadIndexResponse | Propose | ProposeResponse):
+            self.session.handle_message(self.clock(), sender, body)
         else:
-            self.raft.received(self.clock(), sender, body)
+            self.raft.handle_message(self.clock(), sender, body)
         self.step()
 
 
@@ -301,12 +301,12 @@
         self,
         names: Iterable[str],
         seed: int,
-        settings: Settings = FAST,
-        terms: Terms | None = None,
+        settings: RaftSettings = FAST,
+        terms: SessionSettings | None = None,
         make: Callable[..., Raft] = Raft,
         make_session: Callable[..., Session] = Session,
     ) -> None:
-        self.names, self.settings, self.terms = list(names), settings, terms or Terms()
+        self.names, self.settings, self.terms = list(names), settings, terms or SessionSettings()
         self.make, self.make_session = make, make_session
         self.sim, self.rng = Simulator(), random.Random(seed)
         self.loss = self.doubled = 0.0
@@ -424,7 +424,7 @@
         acting = [
             n.machine.version
             for n in self.nodes.values()
-            if n.alive and now >= n.paused_until and n.session.lease.holds(n.clock())
+            if n.alive and now >= n.paused_until and n.session.lease.is_valid(n.clock())
         ]
         if not acting:
             return
@@ -446,7 +446,7 @@
         if len(set(self.by_version.values())) != len(self.by_version):
             found.append("a change holds twice")
         found += self._in_order(done)
-        if self.longest > self.terms.lease_ms * (1 + self.terms.drift) + 20.0:
+        if self.longest > self.terms.lease_ms * (1 + self.terms.clock_drift) + 20.0:
             found.append(f"rules that contradict each other were acted on for {self.longest:.0f} ms")
         return found
 
--- a/notchflow/emulator/agreement_explorer.py
+++ b/notchflow/emulator/agreement_explorer.py
@@ -16,14 +16,14 @@
 
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.raft import Raft
-from notchflow.cluster.agreement.replica import Hard, Role, Settings
-from notchflow.cluster.agreement.wire import Entry, Kind
+from notchflow.cluster.agreement.replica import HardState, Role, RaftSettings
+from notchflow.cluster.agreement.wire import Entry, EntryKind
 
 NAMES: Final = ("p1", "p2", "p3")
 LINKS: Final = tuple((a, b) for a in range(3) for b in range(3) if a != b)
 PLACES: Final = {link: place for place, link in enumerate(LINKS)}
-SETTINGS: Final = Settings(keep=1)
-FIRST: Final = Entry(1, Kind.NOTHING)
+SETTINGS: Final = RaftSettings(trailing_entries=1)
+FIRST: Final = Entry(1, EntryKind.NOOP)
 
 
 class Half:
@@ -86,13 +86,13 @@
 
 def begin(scope: Scope) -> State:
     """A log that has begun, and nobody leads: all three have just been started."""
-    rafts = [_raft(name, 0.0, Hard(1, "p1", True), [FIRST]) for name in NAMES]
+    rafts = [_raft(name, 0.0, HardState(1, "p1", True), [FIRST]) for name in NAMES]
     return State(
         tuple(_kept(raft) for raft in rafts), tuple(_brief(raft) for raft in rafts), ((),) * len(LINKS), scope
     )
 
 
-def _raft(name: str, now: float, hard: Hard, entries: list[Entry]) -> Raft:
+def _raft(name: str, now: float, hard: HardState, entries: list[Entry]) -> Raft:
     raft = Raft(name, NAMES, SETTINGS, Half(), now, hard, Log(0, 0, entries))  # type: ignore[arg-type]
     raft.start(now)
     return raft
@@ -102,7 +102,7 @@
     """An instance as bytes, the same for the same contents: whatever the order in which votes came (that of a
     set hangs on the process's hash seed besides), and whichever of equal names is one object."""
     raft.votes = set(sorted(raft.votes))
-    raft.tickets, raft.theirs = dict(sorted(raft.tickets.items())), dict(sorted(raft.theirs.items()))
+    raft.issued_tickets, raft.received_tickets = dict(sorted(raft.issued_tickets.items())), dict(sorted(raft.received_tickets.items()))
     file = io.BytesIO()
     pickler = pickle.Pickler(file)
     pickler.fast = True
@@ -111,7 +111,7 @@
 
 
 def _brief(raft: Raft) -> Brief:
-    return Brief(raft.role is Role.LEADER, raft.term, raft.election_at, raft.beat_at)
+    return Brief(raft.role is Role.LEADER, raft.term, raft.election_at, raft.heartbeat_at)
 
 
 def steps(state: State) -> Iterator[Step]:
@@ -142,7 +142,7 @@
 
 
 def _hears(sender: int, body: Any) -> Callable[[Raft, float], object]:
-    return lambda raft, now: raft.received(now, NAMES[sender], body)
+    return lambda raft, now: raft.handle_message(now, NAMES[sender], body)
 
 
 def _changes(data: bytes) -> Callable[[Raft, float], object]:
@@ -173,9 +173,9 @@
     raft: Raft = pickle.loads(state.cores[step.who])
     if step.forgets is not None:  # of a lost disk nothing is left; messages of a former life are not heeded
         raft = (
-            _raft(raft.me, now, Hard(), [])
+            _raft(raft.name, now, HardState(), [])
             if step.forgets
-            else _raft(raft.me, now, Hard(raft.term, raft.vote, raft.joined), raft.log.entries)
+            else _raft(raft.name, now, HardState(raft.term, raft.voted_for, raft.joined), raft.log.entries)
         )
     if step.act is not None:
         step.act(raft, now)
@@ -186,25 +186,25 @@
     """All is written at once, and what is to be sent is under way then."""
     links = list(state.links)
     while True:
-        batch = raft.take()
-        if not batch.writes and not batch.sends:
+        batch = raft.take_batch()
+        if not batch.needs_write and not batch.messages:
             break
-        for to, body in batch.sends:
+        for to, body in batch.messages:
             links[PLACES[who, NAMES.index(to)]] += (body,)
-        raft.saved(batch.last, batch.last_term)
+        raft.mark_durable(batch.last_index, batch.last_term)
     leaders, agreed, found = dict(state.leaders), list(state.agreed), []
     if raft.role is Role.LEADER:
         if leaders.setdefault(raft.term, who) != who:
             found.append(f"two lead in term {raft.term}")
         newest = all(raft.term > one.term for n, one in enumerate(state.briefs) if n != who and one.leads)
         if newest and raft.log.entries[: len(agreed)] != agreed:
-            found.append(f"{raft.me} leads in term {raft.term} and lacks what is agreed")
-    for index in range(1, raft.commit + 1):
-        entry = raft.log.at(index)
+            found.append(f"{raft.name} leads in term {raft.term} and lacks what is agreed")
+    for index in range(1, raft.commit_index + 1):
+        entry = raft.log.entry_at(index)
         if index > len(agreed):
             agreed.append(entry)
         elif agreed[index - 1] != entry:
-            found.append(f"{raft.me} has another entry at {index} than was agreed")
+            found.append(f"{raft.name} has another entry at {index} than was agreed")
     cores, briefs = list(state.cores), list(state.briefs)
     cores[who], briefs[who] = _kept(raft), _brief(raft)
     return state._replace(
--- a/notchflow/emulator/agreement_trouble.py
+++ b/notchflow/emulator/agreement_trouble.py
@@ -38,7 +38,7 @@
     def _equal(self) -> bool:
         nodes = list(self.world.nodes.values())
         return len({n.machine.applied for n in nodes}) == 1 and all(
-            n.session.lease.holds(n.clock()) and n.raft.joined for n in nodes
+            n.session.lease.is_valid(n.clock()) and n.raft.joined for n in nodes
         )
 
     def _break(self) -> None:
@@ -73,14 +73,14 @@
 
     def _again(self, name: str, empty: bool) -> None:
         self.world.kill(name)
-        drift = self.world.terms.drift
+        drift = self.world.terms.clock_drift
         self.world.restart(name, empty, 1.0 + self.rng.uniform(-drift / 2, drift / 2))
 
     def _forget(self, name: str) -> None:
         """A disk is lost, of one that counts and while all others do: what is lost before it has come back
         twice over a majority nothing can bring back."""
         if all(n.raft.joined and n.alive for n in self.world.nodes.values()) and (
-            self.world.nodes[name].raft.log.last
+            self.world.nodes[name].raft.log.last_index
         ):
             self._again(name, True)
 
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -198,7 +198,7 @@
         of the tenants' limits."""
         standing = self.core.standing(self.edge.now()).value
         fields = (b"X-Standing: %b\r\n" % standing.encode(), b"X-Instance: %b\r\n" % self.model.name.encode())
-        opened = (self.limits is None or self.limits.opened()) and (self.rules is None or self.rules.acts())
+        opened = (self.limits is None or self.limits.opened()) and (self.rules is None or self.rules.may_act())
         return LocalReply(200 if opened and self.core.accepts_requests() and not away else 503, fields, b"")
 
     def turned_away(self) -> LocalReply | None:
@@ -227,7 +227,7 @@
         ]
         found += [f'cluster_members{{state="{word}"}} {count}' for word, count in states.items()]
         found += self.limits.lines() if self.limits is not None else []
-        found += self.rules.lines() if self.rules is not None else []
+        found += self.rules.metrics_lines() if self.rules is not None else []
         return found + [f"cluster_{name} {count}" for name, count in sorted(self.edge.metrics.items())]
 
     def bounds(self) -> dict[str, float]:
@@ -239,7 +239,7 @@
             "heal_ms": settings.heal_bound_ms(size),
             "one_name_ms": settings.one_name_bound_ms(size),
             "lent_ms": TERMS.outstanding_ms,
-        } | ({"rules_ms": self.rules.terms.bound_ms} if self.rules is not None else {})
+        } | ({"rules_ms": self.rules.settings.divergence_bound_ms} if self.rules is not None else {})
 
     def show(self) -> dict[str, Any]:
         """`GET /v1/cluster`."""
@@ -255,7 +255,7 @@
             "bounds": {name: round(value, 1) for name, value in self.bounds().items()},
             "disagreements": sorted(core.disagreements),
             "view": f"{core.view.digest:016x}",
-            "rules": self.rules.show() if self.rules is not None else None,
+            "rules": self.rules.status() if self.rules is not None else None,
             "figures": self.limits.by_class() if self.limits is not None else None,
         }
 
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -21,11 +21,11 @@
 from typing import Any, Final, TypeVar
 
 from notchflow.admin.operations import ApiProblem, Change, Done
-from notchflow.cluster.agreement.edge import Agreement
-from notchflow.cluster.agreement.keep import Keep, load
+from notchflow.cluster.agreement.driver import Agreement
+from notchflow.cluster.agreement.storage import Keep, load
 from notchflow.cluster.agreement.raft import Raft
-from notchflow.cluster.agreement.replica import Hard, Role, Settings, Snapshot
-from notchflow.cluster.agreement.session import Terms
+from notchflow.cluster.agreement.replica import HardState, Role, RaftSettings, Snapshot
+from notchflow.cluster.agreement.session import SessionSettings
 from notchflow.cluster.transport import ClusterTransport
 from notchflow.net.exchange import LocalReply
 from notchflow.state.database import Database
@@ -72,16 +72,16 @@
         self.loop, self.edge, self.db, self.note = edge.loop, edge, db, note
         self.state = Replicated(db)
         self.thread = ThreadPoolExecutor(1, "state")
-        self.take: Callable[[Applied, list[Change]], None] = lambda applied, changes: None
+        self.on_applied: Callable[[Applied, list[Change]], None] = lambda applied, changes: None
         engine = Engine(RealFiles(folder / FOLDER), store_clock(), Options(SEGMENT))
         self.committer = Committer(engine, self.loop.call_soon_threadsafe)
         self.committer.start()
         found = load(engine, tuple(sorted(roster)), self.state.applied, self.state.term)
-        hard = found.hard if trusted else Hard(found.hard.term, found.hard.vote, False)
+        hard = found.hard if trusted else HardState(found.hard.term, found.hard.vote, False)
         raft = Raft(
             name,
             found.base.roster,
-            Settings(),
+            RaftSettings(),
             Random(secrets.randbits(64)),
             edge.now(),
             hard,
@@ -89,8 +89,8 @@
             self.state.weight() if not self.state.sealed else 0,
         )
         self.place = self.state.applied  # up to here entries are in force
-        self.terms = Terms()
-        self.agreement = Agreement(edge, raft, self.terms, Keep(self.committer, found), self)
+        self.settings = SessionSettings()
+        self.agreement = Agreement(edge, raft, self.settings, Keep(self.committer, found), self)
         self.asked: dict[int, concurrent.futures.Future[int]] = {}
         self.due: list[tuple[int, concurrent.futures.Future[int]]] = []  # certain from an index on
         self.waiting: dict[str, Waiting] = {}
@@ -120,14 +120,14 @@
         self.committer.stop()
 
     # -- the door
-    def refuses(self) -> LocalReply | None:
+    def rejection(self) -> LocalReply | None:
         """What a request is told while this instance may not act on its rules."""
         if self.agreement.holds(self.edge.now()) and self.state.sealed:
             return None
         self.figures["refused"] += 1
         return self.doubted
 
-    def acts(self) -> bool:
+    def may_act(self) -> bool:
         return self.state.sealed and self.agreement.holds(self.edge.now())
 
     # -- the log asks (on the loop)
@@ -175,7 +175,7 @@
                 self._fate(command, base, held)
 
     def _in_force(self, last: int, applied: Applied, changes: list[Change]) -> None:
-        self.take(applied, changes)
+        self.on_applied(applied, changes)
         self.place = last
         self.note("rules", applied=last, version=self.state.version, digest=self.state.digest)
         if applied.whole:
@@ -359,31 +359,31 @@
             ) from None
 
     # -- what is shown
-    def show(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         raft, now = self.agreement.raft, self.edge.now()
         left = self.agreement.session.lease.until - now
         return {
             "version": self.state.version,
             "digest": self.state.digest,
             "applied": self.place,
-            "agreed": raft.commit,
+            "agreed": raft.commit_index,
             "term": raft.term,
             "leader": raft.leader or None,
             "role": "silent" if raft.silent else raft.role.value,
             "joined": raft.joined,
             "sealed": self.state.sealed,
-            "acts": self.acts(),
+            "acts": self.may_act(),
             "lease_ms": round(max(left, 0.0), 1),
             "peers": {name: peer.match for name, peer in raft.peers.items()}
             if raft.role is Role.LEADER
             else {},
         }
 
-    def lines(self) -> list[str]:
+    def metrics_lines(self) -> list[str]:
         raft = self.agreement.raft
         found = [
             f"cluster_rules_version {self.state.version}",
-            f"cluster_rules_acts {int(self.acts())}",
+            f"cluster_rules_acts {int(self.may_act())}",
             f"cluster_rules_leads {int(self.agreement.leads)}",
             f"cluster_rules_term {raft.term}",
         ]
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -109,8 +109,8 @@
         self.directory.shared = member.limits
         self.door.ready = lambda: member.ready(self.host.lifecycle.draining)
         if member.rules is not None:
-            member.rules.take = self._agreed
-            self.door.doubts = member.rules.refuses
+            member.rules.on_applied = self._agreed
+            self.door.doubts = member.rules.rejection
         self._taking()
 
     def _rules(self) -> FleetRules | None:
--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from notchflow.cluster.agreement import leading, replica
-from notchflow.cluster.agreement.leading import Leading
+from notchflow.cluster.agreement import leader, replica
+from notchflow.cluster.agreement.leader import Leading
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.raft import Raft
-from notchflow.cluster.agreement.replica import Hard, Replica
+from notchflow.cluster.agreement.replica import HardState, Replica
 from notchflow.cluster.agreement.session import Lease
-from notchflow.cluster.agreement.wire import Append, Appended, Entry, Kind, Vote, Voted
+from notchflow.cluster.agreement.wire import AppendEntries, AppendEntriesResponse, Entry, EntryKind, RequestVote, RequestVoteResponse
 from notchflow.emulator.agreement import Disk, World
 from notchflow.emulator.agreement_explorer import Scope, explore
 from notchflow.emulator.agreement_trouble import Trouble
@@ -73,7 +73,7 @@
 def test_calls_are_answered_and_the_lease_is_used_up_in_a_cut() -> None:
     """What the rules above would not show: that anything is done at all."""
     world = World(["p1", "p2", "p3"], 7)
-    assert world.until(lambda: all(n.session.lease.holds(n.clock()) for n in world.nodes.values()), 5_000.0)
+    assert world.until(lambda: all(n.session.lease.is_valid(n.clock()) for n in world.nodes.values()), 5_000.0)
     first = world.operate("p1", "change")
     world.run(200.0)
     assert first is not None and first.version > 0
@@ -86,10 +86,10 @@
     assert held is not None and refused is not None
     assert held.version > first.version and refused.version == -1
     cut_off = world.nodes["p1"]
-    assert cut_off.session.lease.holds(cut_off.clock()), "for a time it acts on what it knew"
+    assert cut_off.session.lease.is_valid(cut_off.clock()), "for a time it acts on what it knew"
     world.run(2_000.0)
-    assert not cut_off.session.lease.holds(cut_off.clock())
-    assert 1_000.0 < world.longest <= world.terms.bound_ms and world.judge() == []
+    assert not cut_off.session.lease.is_valid(cut_off.clock())
+    assert 1_000.0 < world.longest <= world.terms.divergence_bound_ms and world.judge() == []
 
 
 def test_one_that_is_far_behind_is_given_the_whole_and_one_whose_disk_is_lost_counts_again() -> None:
@@ -100,7 +100,7 @@
         world.operate("p1", "change")
         world.run(100.0)
     assert world.until(lambda: len(world.by_version) == 40, 5_000.0) is not None
-    assert world.nodes["p1"].raft.log.base > 8 or world.nodes["p2"].raft.log.base > 8
+    assert world.nodes["p1"].raft.log.base_index > 8 or world.nodes["p2"].raft.log.base_index > 8
     world.restart("p3", empty=True)
     assert not world.nodes["p3"].raft.joined
     assert world.until(lambda: world.nodes["p3"].raft.joined, 10_000.0) is not None
@@ -123,32 +123,32 @@
 
 def test_a_vote_that_was_asked_for_long_ago_is_not_given() -> None:
     draws = random.Random(1)
-    voter = Raft("p2", ["p1", "p2", "p3"], replica.Settings(), draws, 0.0, Hard(1, "", True))
+    voter = Raft("p2", ["p1", "p2", "p3"], replica.RaftSettings(), draws, 0.0, HardState(1, "", True))
     voter.start(0.0)
-    voter.received(2_000.0, "p1", Vote(2, 0, 0, 0, True))
-    ((_, told),) = voter.take().sends
+    voter.handle_message(2_000.0, "p1", RequestVote(2, 0, 0, 0, True))
+    ((_, told),) = voter.take_batch().messages
     assert told.granted and told.pre  # type: ignore[union-attr]
-    late = Vote(2, 0, 0, 0, False, told.ticket)  # type: ignore[union-attr]
-    voter.received(2_000.0 + replica.Settings().ticket_ms + 1, "p1", late)
-    ((_, told),) = voter.take().sends
-    assert not told.granted and voter.vote == ""  # type: ignore[union-attr]
+    late = RequestVote(2, 0, 0, 0, False, told.ticket)  # type: ignore[union-attr]
+    voter.handle_message(2_000.0 + replica.RaftSettings().ticket_ms + 1, "p1", late)
+    ((_, told),) = voter.take_batch().messages
+    assert not told.granted and voter.voted_for == ""  # type: ignore[union-attr]
 
 
 def test_the_roster_changes_by_one_name_at_a_time() -> None:
     world = World(["p1", "p2", "p3"], 9)
     world.run(3_000.0)
-    leader = next(n for n in world.nodes.values() if n.raft.role is replica.Role.LEADER)
-    others = tuple(n for n in world.names if n != leader.name)
+    leader_node = next(n for n in world.nodes.values() if n.raft.role is replica.Role.LEADER)
+    others = tuple(n for n in world.names if n != leader_node.name)
     with pytest.raises(ValueError):
-        leader.raft.change_roster(leader.clock(), others[:1])
-    leader.raft.change_roster(leader.clock(), (leader.name, others[0]))
-    with pytest.raises(leading.Busy):
-        leader.raft.change_roster(leader.clock(), (leader.name, *others))
-    leader.step()
+        leader_node.raft.change_roster(leader_node.clock(), others[:1])
+    leader_node.raft.change_roster(leader_node.clock(), (leader_node.name, others[0]))
+    with pytest.raises(leader.Busy):
+        leader_node.raft.change_roster(leader_node.clock(), (leader_node.name, *others))
+    leader_node.step()
     world.run(500.0)
-    assert world.nodes[others[0]].raft.roster == tuple(sorted((leader.name, others[0])))
+    assert world.nodes[others[0]].raft.roster == tuple(sorted((leader_node.name, others[0])))
     world.kill(others[1])
-    made = world.operate(leader.name, "change")
+    made = world.operate(leader_node.name, "change")
     world.run(500.0)
     assert made is not None and made.version > 0 and world.judge() == []
 
@@ -157,46 +157,46 @@
     alone = Raft(
         "p1",
         ["p1"],
-        replica.Settings(),
+        replica.RaftSettings(),
         random.Random(1),
         0.0,
-        Hard(1, "p1", True),
-        Log(0, 0, [Entry(1, Kind.NOTHING)]),
+        HardState(1, "p1", True),
+        Log(0, 0, [Entry(1, EntryKind.NOOP)]),
     )
     alone.start(0.0)
     alone.tick(alone.election_at)
-    batch = alone.take()
-    assert alone.role is replica.Role.LEADER and alone.commit == 0
-    alone.saved(batch.last, batch.last_term)
-    assert alone.commit == 2
+    batch = alone.take_batch()
+    assert alone.role is replica.Role.LEADER and alone.commit_index == 0
+    alone.mark_durable(batch.last_index, batch.last_term)
+    assert alone.commit_index == 2
 
 
 def test_a_leader_that_is_cut_off_is_certain_of_nothing() -> None:
     world = World(["p1", "p2", "p3"], 4)
     world.run(3_000.0)
-    leader = next(n for n in world.nodes.values() if n.raft.role is replica.Role.LEADER)
-    world.islands([leader.name], [n for n in world.names if n != leader.name])
-    asked = world.operate(leader.name, "read")
+    leader_node = next(n for n in world.nodes.values() if n.raft.role is replica.Role.LEADER)
+    world.islands([leader_node.name], [n for n in world.names if n != leader_node.name])
+    asked = world.operate(leader_node.name, "read")
     world.run(5_000.0)
     assert asked is not None and asked.version == -1
 
 
 def test_an_entry_of_an_earlier_term_is_not_agreed_by_a_majority_that_has_it() -> None:
     """Figure 8 of the paper: it might be replaced still."""
-    log = Log(0, 0, [Entry(1, Kind.NOTHING), Entry(2, Kind.CHANGE, b"x")])
-    first = Raft("p1", ["p1", "p2", "p3"], replica.Settings(), random.Random(1), 0.0, Hard(3, "", True), log)
+    log = Log(0, 0, [Entry(1, EntryKind.NOOP), Entry(2, EntryKind.COMMAND, b"x")])
+    first = Raft("p1", ["p1", "p2", "p3"], replica.RaftSettings(), random.Random(1), 0.0, HardState(3, "", True), log)
     first.start(0.0)
     now = first.election_at
     first.tick(now)
-    first.received(now, "p2", Voted(4, True, True, 1))
-    first.received(now, "p2", Voted(4, True))
-    batch = first.take()
-    assert first.role is replica.Role.LEADER and batch.last == 3
-    first.saved(batch.last, batch.last_term)
-    first.received(now, "p2", Appended(4, True, 2, 1))
-    assert first.commit == 0
-    first.received(now, "p2", Appended(4, True, 3, 1))
-    assert first.commit == 3
+    first.handle_message(now, "p2", RequestVoteResponse(4, True, True, 1))
+    first.handle_message(now, "p2", RequestVoteResponse(4, True))
+    batch = first.take_batch()
+    assert first.role is replica.Role.LEADER and batch.last_index == 3
+    first.mark_durable(batch.last_index, batch.last_term)
+    first.handle_message(now, "p2", AppendEntriesResponse(4, True, 2, 1))
+    assert first.commit_index == 0
+    first.handle_message(now, "p2", AppendEntriesResponse(4, True, 3, 1))
+    assert first.commit_index == 3
 
 
 # -- mutants
@@ -208,8 +208,8 @@
 
 
 def votes_twice(patch: pytest.MonkeyPatch) -> None:
-    def forgets(self: Raft, now: float, sender: str, body: Vote) -> None:
-        self.vote = ""
+    def forgets(self: Raft, now: float, sender: str, body: RequestVote) -> None:
+        self.voted_for = ""
         before(self, now, sender, body)
 
     before = Raft._voted_for
@@ -221,8 +221,8 @@
         Disk,
         "write",
         _writes(
-            lambda disk, batch: setattr(disk, "hard", Hard(batch.hard.term - 1, "", True))
-            if batch.hard is not None
+            lambda disk, batch: setattr(disk, "hard", HardState(batch.hard_state.term - 1, "", True))
+            if batch.hard_state is not None
             else None
         ),
     )
@@ -265,15 +265,15 @@
 
 def counts_what_is_not_durable(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        Replica, "durable", property(lambda self: self.log.last, lambda self, value: None), raising=False
+        Replica, "durable", property(lambda self: self.log.last_index, lambda self, value: None), raising=False
     )
 
 
 def takes_entries_over_a_gap(patch: pytest.MonkeyPatch) -> None:
-    def take(self: Raft, sender: str, body: Append) -> None:
-        before = min(body.before, self.log.last)
-        term = self.log.term(before)
-        taken(self, sender, Append(body.term, before, term or 0, body.commit, body.round, body.entries))
+    def take(self: Raft, sender: str, body: AppendEntries) -> None:
+        before = min(body.before, self.log.last_index)
+        term = self.log.term_at(before)
+        taken(self, sender, AppendEntries(body.term, before, term or 0, body.commit, body.round, body.entries))
 
     taken = Raft._take
     patch.setattr(Raft, "_take", take)
@@ -284,9 +284,9 @@
 
 
 def follower_agrees_beyond_what_it_was_sent(patch: pytest.MonkeyPatch) -> None:
-    def take(self: Raft, sender: str, body: Append) -> None:
+    def take(self: Raft, sender: str, body: AppendEntries) -> None:
         taken(self, sender, body)
-        self.commit = max(self.commit, min(body.commit, self.log.last))
+        self.commit_index = max(self.commit_index, min(body.commit, self.log.last_index))
 
     taken = Raft._take
     patch.setattr(Raft, "_take", take)
@@ -348,7 +348,7 @@
 
 
 def lease_never_ends(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Lease, "holds", lambda self, now: self.until > 0)
+    patch.setattr(Lease, "is_valid", lambda self, now: self.until > 0)
 
 
 def agrees_whatever_the_term(patch: pytest.MonkeyPatch) -> None:
@@ -356,7 +356,7 @@
 
     def agree(self: Leading) -> None:
         have = sorted((self._counted_of(name, self.durable, "match") for name in self.roster), reverse=True)
-        self.commit = max(self.commit, have[self.majority - 1])
+        self.commit_index = max(self.commit_index, have[self.majority - 1])
 
     patch.setattr(Leading, "_agree", agree)
 
