--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -233,7 +233,9 @@
     sizes = [0, 0]
 
     def weigh(sender: str, to: str, body: Any) -> list[float] | None:
-        sizes[0] += len(encode_message(b"s" * 32, Envelope(sender, Incarnation(1 << 40, 1 << 60), 1 << 20, to, body)))
+        sizes[0] += len(
+            encode_message(b"s" * 32, Envelope(sender, Incarnation(1 << 40, 1 << 60), 1 << 20, to, body))
+        )
         sizes[1] += 1
         return None
 
--- a/benchmarks/tenancy.py
+++ b/benchmarks/tenancy.py
@@ -36,7 +36,7 @@
     platform_proxy,
     wait_ready,
 )
-from notchflow.net.exchange import Downstream, ClientRequest
+from notchflow.net.exchange import ClientRequest, Downstream
 from notchflow.state.database import Database
 from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.door import Face, TenantDoor
--- a/notchflow/cluster/addresses.py
+++ b/notchflow/cluster/addresses.py
@@ -37,12 +37,15 @@
     """
 
     def __init__(self, given: Mapping[str, str]) -> None:
-        self.given = {name: at for name, text in given.items() if (at := parse_numeric_address(text)) is not None}
+        self.given = {
+            name: at for name, text in given.items() if (at := parse_numeric_address(text)) is not None
+        }
         self.first: dict[str, str] = {}  # where each of the book's names first said that it is
         self.straight: dict[str, Endpoint] = {}  # where those that moved were heard from
 
     def heard(self, name: str, address: str, source: Endpoint) -> None:
-        """A message of the name's present life, which says that it is at this address, came from a endpoint."""
+        """A message of the name's present life, which says that it is at this address, came from an
+        endpoint."""
         moved = name in self.given and self.first.setdefault(name, address) != address
         if moved and parse_numeric_address(address) == source:
             self.straight[name] = source
--- a/notchflow/cluster/agreement/driver.py
+++ b/notchflow/cluster/agreement/driver.py
@@ -12,26 +12,26 @@
 from collections.abc import Callable, Sequence
 from typing import Final, Protocol
 
-from notchflow.cluster.agreement.storage import Base, Keep
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Batch, Role, Snapshot
 from notchflow.cluster.agreement.session import Session, SessionSettings
+from notchflow.cluster.agreement.storage import Base, Keep
 from notchflow.cluster.agreement.wire import (
     AppendEntries,
     AppendEntriesResponse,
-    ReadIndex,
     EntryKind,
-    Propose,
-    ProposeResponse,
     InstallSnapshot,
     InstallSnapshotResponse,
+    Propose,
+    ProposeResponse,
+    ReadIndex,
     ReadIndexResponse,
     RequestVote,
     RequestVoteResponse,
 )
-from notchflow.cluster.transport import ClusterTransport
-from notchflow.cluster.messages import Message
 from notchflow.cluster.local_state import Sender
+from notchflow.cluster.messages import Message
+from notchflow.cluster.transport import ClusterTransport
 from notchflow.store.engine import StoreError
 
 log = logging.getLogger(__name__)
@@ -62,7 +62,9 @@
 class Agreement:
     """One instance's part, running."""
 
-    def __init__(self, edge: ClusterTransport, raft: Raft, terms: SessionSettings, keep: Keep, rules: Rules) -> None:
+    def __init__(
+        self, edge: ClusterTransport, raft: Raft, terms: SessionSettings, keep: Keep, rules: Rules
+    ) -> None:
         self.edge, self.raft, self.keep, self.rules = edge, raft, keep, rules
         self.session = Session(raft, terms, edge.now())
         self.session.mark_applied(rules.at())
@@ -72,7 +74,17 @@
         self.armed = float("inf")
         self.told = ("", 0)
         self.stopped = False
-        edge.handlers |= dict.fromkeys((RequestVote, RequestVoteResponse, AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse), self._said)
+        edge.handlers |= dict.fromkeys(
+            (
+                RequestVote,
+                RequestVoteResponse,
+                AppendEntries,
+                AppendEntriesResponse,
+                InstallSnapshot,
+                InstallSnapshotResponse,
+            ),
+            self._said,
+        )
         edge.handlers |= dict.fromkeys((ReadIndex, ReadIndexResponse, Propose, ProposeResponse), self._asked)
 
     def start(self) -> None:
@@ -112,7 +124,15 @@
     # -- events
     def _said(self, now: float, sender: Sender, body: Message) -> Message | None:
         if not self.stopped:
-            assert isinstance(body, RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | InstallSnapshotResponse)
+            assert isinstance(
+                body,
+                RequestVote
+                | RequestVoteResponse
+                | AppendEntries
+                | AppendEntriesResponse
+                | InstallSnapshot
+                | InstallSnapshotResponse,
+            )
             self.raft.handle_message(now, sender.name, body)
             self._step()
         return None
--- a/notchflow/cluster/agreement/leader.py
+++ b/notchflow/cluster/agreement/leader.py
@@ -224,7 +224,9 @@
 
     def _send_piece(self, now: float, name: str, peer: Peer) -> None:
         blob = self.blob
-        if blob is None or blob.index < self.log.base_index:  # a word all the same, so that it holds no election
+        if (
+            blob is None or blob.index < self.log.base_index
+        ):  # a word all the same, so that it holds no election
             term = self.log.term_at(self.log.base_index)
             assert term is not None
             self._send(name, AppendEntries(self.term, self.log.base_index, term, 0, self.round))
@@ -234,7 +236,8 @@
         peer.piece_at = now
         data = blob.data[peer.offset : peer.offset + PIECE_BYTES]
         self._send(
-            name, InstallSnapshot(self.term, blob.index, blob.term, blob.roster, len(blob.data), peer.offset, data)
+            name,
+            InstallSnapshot(self.term, blob.index, blob.term, blob.roster, len(blob.data), peer.offset, data),
         )
 
     def _pieced(self, now: float, name: str, body: InstallSnapshotResponse) -> None:
--- a/notchflow/cluster/agreement/raft.py
+++ b/notchflow/cluster/agreement/raft.py
@@ -11,7 +11,15 @@
 from notchflow.cluster.agreement.leader import Leading
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.replica import Role, Said, Snapshot
-from notchflow.cluster.agreement.wire import SNAPSHOT_MAX, AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse, RequestVote, RequestVoteResponse
+from notchflow.cluster.agreement.wire import (
+    SNAPSHOT_MAX,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    RequestVote,
+    RequestVoteResponse,
+)
 
 
 class Raft(Leading):
@@ -106,7 +114,9 @@
             return
         self.role, self.votes, self.received_tickets, self.asked_at = Role.ASKING, {self.name}, {}, now
         for name in self.others:
-            self._send(name, RequestVote(self.term + 1, self.log.last_index, self.log.last_term, self.weight, True))
+            self._send(
+                name, RequestVote(self.term + 1, self.log.last_index, self.log.last_term, self.weight, True)
+            )
         self._counted(now)
 
     def _stand(self, now: float) -> None:
@@ -114,7 +124,10 @@
         self.role, self.votes = Role.CANDIDATE, {self.name}
         self._election_later(now)
         for name, ticket in self.received_tickets.items():
-            self._send(name, RequestVote(self.term, self.log.last_index, self.log.last_term, self.weight, False, ticket))
+            self._send(
+                name,
+                RequestVote(self.term, self.log.last_index, self.log.last_term, self.weight, False, ticket),
+            )
         self._counted(now)
 
     def _counted(self, now: float) -> None:
@@ -145,7 +158,10 @@
             self._follow(now, body.term, "")
         granted = in_time and self.voted_for in ("", sender)
         if granted:
-            self.voted_for, self.joined = sender, True  # to begin a log takes all: it has known it from the start
+            self.voted_for, self.joined = (
+                sender,
+                True,
+            )  # to begin a log takes all: it has known it from the start
             self._election_later(now)
         self._send(sender, RequestVoteResponse(self.term, granted))
 
@@ -218,10 +234,15 @@
         """Entries that follow on what is here; where they do not, from where to try again."""
         before = body.before
         if before > self.log.last_index:
-            self._send(sender, AppendEntriesResponse(self.term, False, self.log.last_index + 1, body.round, self.joined))
+            self._send(
+                sender,
+                AppendEntriesResponse(self.term, False, self.log.last_index + 1, body.round, self.joined),
+            )
             return
         entries = body.entries
-        if before < self.log.base_index:  # compacted here, and so agreed: only what comes behind is of interest
+        if (
+            before < self.log.base_index
+        ):  # compacted here, and so agreed: only what comes behind is of interest
             entries, before = entries[self.log.base_index - before :], self.log.base_index
         elif self.log.term_at(before) != body.before_term:
             again = max(self.log.first_of(before), self.commit_index + 1)
--- a/notchflow/cluster/agreement/replica.py
+++ b/notchflow/cluster/agreement/replica.py
@@ -25,7 +25,14 @@
     RequestVoteResponse,
 )
 
-Said: TypeAlias = RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | InstallSnapshotResponse
+Said: TypeAlias = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+)
 
 
 class Role(Enum):
@@ -183,8 +190,8 @@
         """A snapshot of the state at an index is durable: entries well before it are forgotten."""
         index = min(index, self.applicable_index) - self.settings.trailing_entries
         if index > self.log.base_index:
-            roster = Log(self.log.base_index, self.log.base_term, self.log.entries[: index - self.log.base_index]).latest_roster(
-                self.base_roster
-            )
+            roster = Log(
+                self.log.base_index, self.log.base_term, self.log.entries[: index - self.log.base_index]
+            ).latest_roster(self.base_roster)
             self.log.compact(index)
             self.base_roster = roster
--- a/notchflow/cluster/agreement/session.py
+++ b/notchflow/cluster/agreement/session.py
@@ -14,7 +14,7 @@
 from notchflow.cluster.agreement.leader import Busy, NotLeading
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Role
-from notchflow.cluster.agreement.wire import ReadIndex, Propose, ProposeResponse, ReadIndexResponse
+from notchflow.cluster.agreement.wire import Propose, ProposeResponse, ReadIndex, ReadIndexResponse
 
 NUMBERS: Final = (1 << 62) - 1
 Asked: TypeAlias = ReadIndex | ReadIndexResponse | Propose | ProposeResponse
--- a/notchflow/cluster/agreement/storage.py
+++ b/notchflow/cluster/agreement/storage.py
@@ -54,7 +54,11 @@
     the log's beginning was lost by itself: then nothing here can be relied on. A log that lies behind the
     state goes on from that, as what is in force is agreed. Damaged, OSError."""
     record = engine.read(HARD)
-    hard = HardState(*msgspec.msgpack.decode(record.value, type=tuple[int, str, bool])) if record else HardState()
+    hard = (
+        HardState(*msgspec.msgpack.decode(record.value, type=tuple[int, str, bool]))
+        if record
+        else HardState()
+    )
     record = engine.read(BASE)
     base = (
         Base(*msgspec.msgpack.decode(record.value, type=tuple[int, int, tuple[str, ...]]))
@@ -96,7 +100,9 @@
             changes += self._based(base)
         last = batch.first_index + len(batch.entries) - 1
         for offset, entry in enumerate(batch.entries):
-            changes.append(Change(Kind.PUT, key_of(batch.first_index + offset), msgspec.msgpack.encode(entry)))
+            changes.append(
+                Change(Kind.PUT, key_of(batch.first_index + offset), msgspec.msgpack.encode(entry))
+            )
         if batch.entries or batch.snapshot is not None or batch.first_index <= self.stored_last:
             changes += [Change(Kind.DELETE, key_of(index)) for index in range(last + 1, self.stored_last + 1)]
             self.stored_last = last
--- a/notchflow/cluster/agreement/wire.py
+++ b/notchflow/cluster/agreement/wire.py
@@ -1,7 +1,7 @@
 """What instances say to one another to agree on a log. Pure.
 
-Names after Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, Stanford 2014): RequestVote and RequestVoteResponse are
-RequestVote, AppendEntries and AppendEntriesResponse are AppendEntries, InstallSnapshot and InstallSnapshotResponse are InstallSnapshot in pieces.
+Names after Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, Stanford 2014): RequestVote,
+AppendEntries and InstallSnapshot with their responses; InstallSnapshot is sent in pieces.
 """
 
 from __future__ import annotations
@@ -101,8 +101,8 @@
 
 
 class ReadIndex(msgspec.Struct, frozen=True, array_like=True, tag=26):
-    """Up to where is agreed, for certain, as of now? Answered by ReadIndexResponse once a majority has said that the one
-    that is asked still leads."""
+    """Up to where is agreed, for certain, as of now? Answered by ReadIndexResponse once a
+    majority has said that the one that is asked still leads."""
 
     number: Number
 
--- a/notchflow/cluster/budgets.py
+++ b/notchflow/cluster/budgets.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 
 TENANTS_A_MESSAGE: Final = 10
@@ -345,10 +345,14 @@
         for name in others:
             held = account.held.get(name)
             if each > 0:
-                found.append((name, LoanItem(account.key, each, held.report(now) if held is not None else ())))
+                found.append(
+                    (name, LoanItem(account.key, each, held.report(now) if held is not None else ()))
+                )
         return found
 
-    def handle_loan_request(self, now: float, borrower: str, life: Incarnation, want: LoanRequest) -> LoanGrant:
+    def handle_loan_request(
+        self, now: float, borrower: str, life: Incarnation, want: LoanRequest
+    ) -> LoanGrant:
         """What is lent of what is asked for."""
         lent = []
         for one in want.items:
--- a/notchflow/cluster/concurrency_limits.py
+++ b/notchflow/cluster/concurrency_limits.py
@@ -4,7 +4,8 @@
 lends at most half of its part, so that an instance has the other half whatever it hears. A lent place may be
 taken until `loan_ms` after it was asked for, by the borrower's clock, and is held for `hold_ms` at the
 longest, which is how long a request may be in hand; the owner counts it as out until both have passed, and
-the clock_drift allowed, after it answered, or until the borrower says by the grant's number that it is free again.
+the clock drift allowed, after it answered, or until the borrower says by the grant's number that it is
+free again.
 
 Places are alike: what ends frees the borrowed place that the owner takes back first. Of all that were in hand
 when a lot could be taken from for the last time each has ended `hold_ms` later: by then the lot is free. (An
@@ -21,7 +22,7 @@
 from typing import Final
 
 from notchflow.cluster.budgets import NUMBERS, OWNERS_A_TICK, SPENT_A_MESSAGE, Loan, out_of, owners
-from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 
 FULL: Final = 0.75  # of the places there are: from here on more are asked for
@@ -90,7 +91,9 @@
         self, me: str, roster: Iterable[str], terms: SlotTerms, rng: random.Random, started_at: float
     ) -> None:
         self.me, self.roster, self.terms, self.rng = me, tuple(sorted(set(roster))), terms, rng
-        self.opens_at = started_at + terms.outstanding_ms  # till then half of each part may be out of a former life
+        self.opens_at = (
+            started_at + terms.outstanding_ms
+        )  # till then half of each part may be out of a former life
         self.accounts: dict[str, Account] = {}
         self.known: dict[str, int] = {}
         self.asking: dict[int, tuple[str, float]] = {}
@@ -213,7 +216,9 @@
         each = math.ceil(need / len(drawn)) if drawn else 0
         return [(name, each if name in drawn else 0) for name in others]
 
-    def handle_loan_request(self, now: float, borrower: str, life: Incarnation, want: LoanRequest) -> LoanGrant:
+    def handle_loan_request(
+        self, now: float, borrower: str, life: Incarnation, want: LoanRequest
+    ) -> LoanGrant:
         """What is lent of what is asked for; what is said to be free again comes back."""
         lent = []
         for one in want.items:
--- a/notchflow/cluster/fleet_metrics.py
+++ b/notchflow/cluster/fleet_metrics.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from notchflow.cluster.messages import MetricsAck, MetricsUpdate, MetricsRow
+from notchflow.cluster.messages import MetricsAck, MetricsRow, MetricsUpdate
 from notchflow.cluster.model import NO_INCARNATION, Incarnation
 
 TENANT_METRICS: Final = (
@@ -142,11 +142,15 @@
         for start in range(0, min(len(rows), ROWS_A_MESSAGE * MESSAGES_A_TICK), ROWS_A_MESSAGE):
             part = rows[start : start + ROWS_A_MESSAGE]
             up_to = part[-1][0] if start + ROWS_A_MESSAGE < len(rows) else self.version
-            messages.append(MetricsUpdate(since, up_to, tuple(MetricsRow(tenant, self.own[tenant]) for _, tenant in part)))
+            messages.append(
+                MetricsUpdate(since, up_to, tuple(MetricsRow(tenant, self.own[tenant]) for _, tenant in part))
+            )
             since = up_to
         return messages
 
-    def handle_update(self, now: float, sender: str, life: Incarnation, body: MetricsUpdate) -> MetricsAck | None:
+    def handle_update(
+        self, now: float, sender: str, life: Incarnation, body: MetricsUpdate
+    ) -> MetricsAck | None:
         """Figures of another; what is acknowledged. A part whose beginning is missing is not taken: what it
         leaves out comes again."""
         copy = self.copies.get(sender)
--- a/notchflow/cluster/local_state.py
+++ b/notchflow/cluster/local_state.py
@@ -12,9 +12,9 @@
 from notchflow.cluster.gossip import Queue
 from notchflow.cluster.messages import Message, Update, digest
 from notchflow.cluster.model import Incarnation, Record, Settings, Standing, State
+from notchflow.cluster.name_claim import NameClaim
 from notchflow.cluster.probes import Probes
 from notchflow.cluster.suspicion import LocalHealth, Suspicion
-from notchflow.cluster.name_claim import NameClaim
 from notchflow.cluster.view import View
 
 
@@ -145,5 +145,6 @@
         if sender.name == self.name:
             return sender.incarnation < self.name_claim.incarnation
         return held is not None and (
-            sender.incarnation < held.incarnation or (sender.incarnation == held.incarnation and held.state is State.LEFT)
+            sender.incarnation < held.incarnation
+            or (sender.incarnation == held.incarnation and held.state is State.LEFT)
         )
--- a/notchflow/cluster/members.py
+++ b/notchflow/cluster/members.py
@@ -13,7 +13,7 @@
 
 from notchflow.cluster.actions import Action, Exchange
 from notchflow.cluster.contacts import Link
-from notchflow.cluster.updates import UpdateProcessor
+from notchflow.cluster.local_state import Sender
 from notchflow.cluster.messages import (
     Ack,
     Ask,
@@ -26,9 +26,9 @@
     Update,
 )
 from notchflow.cluster.model import Record, Standing, State
-from notchflow.cluster.probes import Probe
-from notchflow.cluster.local_state import Sender
 from notchflow.cluster.name_claim import ClaimState
+from notchflow.cluster.probes import Probe
+from notchflow.cluster.updates import UpdateProcessor
 
 LEAVE_TOLD: Final = 32  # members that are told of a leave directly
 SEEDS_AT_ONCE: Final = 3
@@ -133,7 +133,9 @@
             self._twin(now)
         older = self._outlived(sender)
         if older:
-            self._disagree("two-instances", sender.name, value=str(sender.incarnation), older=str(sender.incarnation))
+            self._disagree(
+                "two-instances", sender.name, value=str(sender.incarnation), older=str(sender.incarnation)
+            )
         else:
             self.contacts.heard(sender.name, now)
             self._rosters(sender.name, body.roster)
@@ -203,7 +205,14 @@
                 self._learn(
                     now,
                     Update(
-                        Record(name, record.incarnation, record.revision, State.DEAD, record.address, record.version)
+                        Record(
+                            name,
+                            record.incarnation,
+                            record.revision,
+                            State.DEAD,
+                            record.address,
+                            record.version,
+                        )
                     ),
                 )
 
@@ -227,13 +236,17 @@
         self._accuse(now, held)
 
     def _accuse(self, now: float, held: Record) -> None:
-        suspect = Record(held.name, held.incarnation, held.revision, State.SUSPECT, held.address, held.version)
+        suspect = Record(
+            held.name, held.incarnation, held.revision, State.SUSPECT, held.address, held.version
+        )
         self._learn(now, Update(suspect, self.name))
 
     def _errand(self, now: float, asker: str, body: Ask) -> None:
         if body.target not in self.contacts.by_name:
             return
-        number = self.probes.errand(asker, body.number, body.target, now + ERRAND * self.settings.probe_timeout_ms)
+        number = self.probes.errand(
+            asker, body.number, body.target, now + ERRAND * self.settings.probe_timeout_ms
+        )
         self._send(
             body.target, Ping(number, self.view.digest, self.roster_digest, self._news_for(body.target))
         )
@@ -315,7 +328,9 @@
                 self._learn(now, Update(Record(self.name, sender.incarnation)))
             else:
                 self._reply(self.name, Gossip((Update(self.record),)))
-                self._disagree("two-instances", self.name, value=str(sender.incarnation), older=str(sender.incarnation))
+                self._disagree(
+                    "two-instances", self.name, value=str(sender.incarnation), older=str(sender.incarnation)
+                )
             return False
         if self._outlived(sender):
             held = self.view.get(sender.name)
@@ -331,7 +346,9 @@
             self._reply(sender.name, Gossip((Update(held),)))
             return False
         held = self.view.get(sender.name)
-        if held is None or sender.incarnation > held.incarnation:  # its own record comes with its next news or exchange
+        if (
+            held is None or sender.incarnation > held.incarnation
+        ):  # its own record comes with its next news or exchange
             self._learn(now, Update(Record(sender.name, sender.incarnation)))
         return self.name_claim.state is not ClaimState.CONTESTED or isinstance(body, Gossip)
 
--- a/notchflow/cluster/model.py
+++ b/notchflow/cluster/model.py
@@ -70,7 +70,14 @@
         """A total order, so that any two instances that have seen the same records hold the same one. A later
         life covers all of an earlier one; leaving is the last word on a life; within it a member's own newer
         revision covers what was said of the one before."""
-        return (self.incarnation, self.state is State.LEFT, self.revision, self.state, self.address, self.version)
+        return (
+            self.incarnation,
+            self.state is State.LEFT,
+            self.revision,
+            self.state,
+            self.address,
+            self.version,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +122,12 @@
         if roster < 2:
             return 0.0
         shortest, _ = self.suspicion_bounds_ms(roster)
-        return 7 * self.probe_interval_ms(roster) + 2 * self.probe_timeout_ms + shortest + self.gossip_bound_ms(roster)
+        return (
+            7 * self.probe_interval_ms(roster)
+            + 2 * self.probe_timeout_ms
+            + shortest
+            + self.gossip_bound_ms(roster)
+        )
 
     def gossip_bound_ms(self, roster: int) -> float:
         """News go round in about so long: each who hears tells `fanout` others after `flush_ms`."""
@@ -130,4 +142,8 @@
     def heal_bound_ms(self, roster: int) -> float:
         """By when all views are equal after the links are whole: one round of probes over those held dead,
         refutation, news, and two exchanges one after the other for what was lost of them."""
-        return self.contact_bound_ms(roster) / 3 + 2 * self.gossip_bound_ms(roster) + 2 * (self.quiet_ms + self.probe_timeout_ms)
+        return (
+            self.contact_bound_ms(roster) / 3
+            + 2 * self.gossip_bound_ms(roster)
+            + 2 * (self.quiet_ms + self.probe_timeout_ms)
+        )
--- a/notchflow/cluster/transport.py
+++ b/notchflow/cluster/transport.py
@@ -17,7 +17,9 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, Final
 
-from notchflow.cluster.actions import Action, Datagram, Exchange, PersistIncarnation, MembershipEvent
+from notchflow.cluster.actions import Action, Datagram, Exchange, MembershipEvent, PersistIncarnation
+from notchflow.cluster.addresses import AddressBook, Endpoint, address_family, parse_numeric_address
+from notchflow.cluster.local_state import Sender
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import (
     DATAGRAM_MAX,
@@ -31,12 +33,10 @@
     Sync,
     UnknownVersion,
     Window,
-    encode_message,
     decode_message,
+    encode_message,
 )
 from notchflow.cluster.model import Incarnation
-from notchflow.cluster.addresses import AddressBook, Endpoint, address_family, parse_numeric_address
-from notchflow.cluster.local_state import Sender
 from notchflow.net.node_list import parse_address
 
 log = logging.getLogger(__name__)
@@ -346,7 +346,9 @@
                 if not isinstance(envelope.body, Sync):  # what was too long for a datagram
                     handler = self.handlers.get(type(envelope.body))
                     if handler is not None:
-                        self._handle(handler, Sender(envelope.name, envelope.incarnation), envelope.body, None)
+                        self._handle(
+                            handler, Sender(envelope.name, envelope.incarnation), envelope.body, None
+                        )
                     return
                 sender = Sender(envelope.name, envelope.incarnation)
                 answer, actions = self.core.handle_sync(self.now(), sender, envelope.body)
--- a/notchflow/cluster/updates.py
+++ b/notchflow/cluster/updates.py
@@ -6,11 +6,11 @@
 from typing import Final
 
 from notchflow.cluster.actions import PersistIncarnation
+from notchflow.cluster.local_state import LocalState
 from notchflow.cluster.messages import Ping, Update
 from notchflow.cluster.model import Record, State
-from notchflow.cluster.local_state import LocalState
-from notchflow.cluster.suspicion import Suspicion
 from notchflow.cluster.name_claim import ClaimState
+from notchflow.cluster.suspicion import Suspicion
 
 STATE_NAMES: Final = {State.ALIVE: "alive", State.SUSPECT: "suspect", State.DEAD: "dead", State.LEFT: "left"}
 
@@ -95,7 +95,8 @@
             suspicion is None
             or not update.accuser
             or record.state is not State.SUSPECT
-            or (record.incarnation, record.revision) != (suspicion.record.incarnation, suspicion.record.revision)
+            or (record.incarnation, record.revision)
+            != (suspicion.record.incarnation, suspicion.record.revision)
         ):
             return
         if suspicion.accuse(update.accuser):
@@ -118,7 +119,9 @@
             self._rise(now, record)
         elif self.disagreements.get(f"two-instances {self.name}") != str(record.incarnation):
             self.view.join(now, record)
-            self._disagree("two-instances", self.name, value=str(record.incarnation), newer=str(record.incarnation))
+            self._disagree(
+                "two-instances", self.name, value=str(record.incarnation), newer=str(record.incarnation)
+            )
             self._tell("contested", newer=str(record.incarnation))
             self.probes.forget()  # nobody answers the older one: that is no reason to judge them
             self.suspicions.clear()
@@ -128,22 +131,35 @@
 
     def _twin(self, now: float) -> None:
         """Another instance goes by this name and this very life: both begin new ones."""
-        self._disagree("two-instances", self.name, value=str(self.name_claim.incarnation), same=str(self.name_claim.incarnation))
+        self._disagree(
+            "two-instances",
+            self.name,
+            value=str(self.name_claim.incarnation),
+            same=str(self.name_claim.incarnation),
+        )
         self.name_claim.rise(self.name_claim.incarnation)
         self._rise(now, None)
 
     def _rise(self, now: float, over: Record | None) -> None:
         self.actions.append(PersistIncarnation(self.name_claim.incarnation))
-        self._tell("rose", life=str(self.name_claim.incarnation), over=str(over.incarnation) if over is not None else "a twin")
+        self._tell(
+            "rose",
+            life=str(self.name_claim.incarnation),
+            over=str(over.incarnation) if over is not None else "a twin",
+        )
         self._say(now, 0)
 
     def _say(self, now: float, revision: int) -> None:
-        mine = Record(self.name, self.name_claim.incarnation, revision, State.ALIVE, self.address, self.version)
+        mine = Record(
+            self.name, self.name_claim.incarnation, revision, State.ALIVE, self.address, self.version
+        )
         self.view.put(now, mine)
         self._spread(now, Update(mine))
 
     def _probe(self, now: float, target: str) -> None:
         timeout = self.settings.probe_timeout_ms * self.local_health.factor
         held = self.view.get(target)
-        number = self.probes.begin(target, held.incarnation if held else None, now, timeout, now + 2 * timeout)
+        number = self.probes.begin(
+            target, held.incarnation if held else None, now, timeout, now + 2 * timeout
+        )
         self._send(target, Ping(number, self.view.digest, self.roster_digest, self._news_for(target)))
--- a/notchflow/effects/keeper.py
+++ b/notchflow/effects/keeper.py
@@ -67,7 +67,9 @@
 
     __slots__ = ("keeper", "key", "rule", "call", "go", "timer", "over", "busy", "held")
 
-    def __init__(self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, go: Go) -> None:
+    def __init__(
+        self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, go: Go
+    ) -> None:
         self.keeper, self.key, self.rule = keeper, key, rule
         self.call: ClientRequest | None = call
         self.busy, self.go = busy, go
--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -20,7 +20,14 @@
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Batch, HardState, RaftSettings, Snapshot
 from notchflow.cluster.agreement.session import Session, SessionSettings
-from notchflow.cluster.agreement.wire import ReadIndex, Entry, EntryKind, Propose, ProposeResponse, ReadIndexResponse
+from notchflow.cluster.agreement.wire import (
+    Entry,
+    EntryKind,
+    Propose,
+    ProposeResponse,
+    ReadIndex,
+    ReadIndexResponse,
+)
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.members import between
 
@@ -197,7 +204,8 @@
                 self._settle(msgspec.msgpack.decode(entry.data, type=Command), command is not None)
         self.session.mark_applied(machine.applied)
         if (
-            self.raft.applicable_index - self.raft.log.base_index >= COMPACT_EVERY + self.world.settings.trailing_entries
+            self.raft.applicable_index - self.raft.log.base_index
+            >= COMPACT_EVERY + self.world.settings.trailing_entries
             and machine.applied > self.raft.log.base_index
         ):
             self._compact()
@@ -209,7 +217,9 @@
         term = self.raft.log.term_at(index)
         assert term is not None
         roster = Log(
-            0, 0, [e for i in range(self.raft.log.base_index + 1, index + 1) for e in [self.raft.log.entry_at(i)]]
+            0,
+            0,
+            [e for i in range(self.raft.log.base_index + 1, index + 1) for e in [self.raft.log.entry_at(i)]],
         ).latest_roster(self.raft.base_roster)
         return Snapshot(index, term, roster, self.machine.dump())
 
--- a/notchflow/emulator/agreement_explorer.py
+++ b/notchflow/emulator/agreement_explorer.py
@@ -16,7 +16,7 @@
 
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.raft import Raft
-from notchflow.cluster.agreement.replica import HardState, Role, RaftSettings
+from notchflow.cluster.agreement.replica import HardState, RaftSettings, Role
 from notchflow.cluster.agreement.wire import Entry, EntryKind
 
 NAMES: Final = ("p1", "p2", "p3")
@@ -102,7 +102,10 @@
     """An instance as bytes, the same for the same contents: whatever the order in which votes came (that of a
     set hangs on the process's hash seed besides), and whichever of equal names is one object."""
     raft.votes = set(sorted(raft.votes))
-    raft.issued_tickets, raft.received_tickets = dict(sorted(raft.issued_tickets.items())), dict(sorted(raft.received_tickets.items()))
+    raft.issued_tickets, raft.received_tickets = (
+        dict(sorted(raft.issued_tickets.items())),
+        dict(sorted(raft.received_tickets.items())),
+    )
     file = io.BytesIO()
     pickler = pickle.Pickler(file)
     pickler.fast = True
--- a/notchflow/emulator/explorer.py
+++ b/notchflow/emulator/explorer.py
@@ -204,7 +204,11 @@
     def _ends(self) -> None:
         """Once faults have ended, all that run hold the same, and it is true."""
         fleet = self.fleet
-        members = [n.part for n in self.nodes if n.alive and isinstance(n.part, Members) and n.part.accepts_requests()]
+        members = [
+            n.part
+            for n in self.nodes
+            if n.alive and isinstance(n.part, Members) and n.part.accepts_requests()
+        ]
         running = {m.name for m in members}
         if running != {n.name for n in self.nodes if n.alive}:
             self._breaks("a name has nobody that takes requests")
--- a/notchflow/emulator/fixed_waits.py
+++ b/notchflow/emulator/fixed_waits.py
@@ -5,7 +5,7 @@
 
 from typing import Final
 
-from notchflow.net.watch import WatchAction, CancelCall, PendingCall, ListWatch
+from notchflow.net.watch import CancelCall, ListWatch, PendingCall, WatchAction
 
 FIXED_WAIT_MS: Final = 20_000
 GIVE_UP_MS: Final = 1_000.0
--- a/notchflow/emulator/heartbeats.py
+++ b/notchflow/emulator/heartbeats.py
@@ -10,9 +10,9 @@
 from typing import Final
 
 from notchflow.cluster.actions import Action, Datagram, MembershipEvent
+from notchflow.cluster.local_state import Sender
 from notchflow.cluster.messages import Message, Nack
 from notchflow.cluster.model import Incarnation
-from notchflow.cluster.local_state import Sender
 
 EVERY_MS: Final = 500.0
 SILENT_MS: Final = 2_000.0  # four in a row that did not come
--- a/notchflow/emulator/members.py
+++ b/notchflow/emulator/members.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import Final, Protocol
 
-from notchflow.cluster.actions import Action, Datagram, Exchange, PersistIncarnation, MembershipEvent
+from notchflow.cluster.actions import Action, Datagram, Exchange, MembershipEvent, PersistIncarnation
+from notchflow.cluster.local_state import Sender
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import Envelope, Message, Sync, encode_message
 from notchflow.cluster.model import Incarnation, Record, Settings, State
-from notchflow.cluster.local_state import Sender
 from notchflow.emulator.engine import Simulator
 
 EPOCH: Final = 1_000_000
@@ -219,7 +219,9 @@
 
     def _weigh(self, node: Node, body: Message) -> None:
         if self.weigh:
-            self.bytes[node.name] += len(encode_message(SECRET, Envelope(node.name, node.life, 1, "p0000", body)))
+            self.bytes[node.name] += len(
+                encode_message(SECRET, Envelope(node.name, node.life, 1, "p0000", body))
+            )
 
     def _datagram(self, node: Node, to: str, body: Message) -> None:
         self._count(node, body)
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -16,10 +16,10 @@
 from notchflow.emulator.wires import Address, Loop, Pipe, SimulatedClock
 from notchflow.interface import Effect, Limits, ListKind, RequestClass, Rules, Settings
 from notchflow.net.config import Config
-from notchflow.net.exchange import UpstreamResponse, ClientRequest, LocalReply
+from notchflow.net.exchange import ClientRequest, LocalReply, UpstreamResponse
 from notchflow.net.host import Host
 from notchflow.net.node_list import NodeList, decode_node_list
-from notchflow.net.watch import StartCall, ListWatch
+from notchflow.net.watch import ListWatch, StartCall
 
 # What may happen to the three nodes, one entry a revision: which, its phase from then on, and its port.
 Plan = tuple[tuple[str, str, int], ...]
--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -14,7 +14,7 @@
 from notchflow.emulator.engine import Simulator
 from notchflow.interface import Limits, ListKind, Member, Membership, RequestClass, Rules, SetTimer, Settings
 from notchflow.net.node_list import NodeList
-from notchflow.net.watch import WatchAction, StartCall, CancelCall, ReportFailure, ApplyList, ListWatch
+from notchflow.net.watch import ApplyList, CancelCall, ListWatch, ReportFailure, StartCall, WatchAction
 from notchflow.policy.balancer import Balancer
 
 TRIP_MS: Final = 0.3
--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -11,10 +11,10 @@
 
 from pydantic import TypeAdapter, ValidationError
 
+from notchflow.cluster.addresses import parse_numeric_address as numeric
 from notchflow.cluster.identity import IdentityError, read_secret
 from notchflow.cluster.messages import SECRET_BYTES_MIN
 from notchflow.cluster.model import NAMES_MAX
-from notchflow.cluster.addresses import parse_numeric_address as numeric
 from notchflow.hosting.schema import (
     AdminModel,
     ClassModel,
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -17,12 +17,12 @@
 from notchflow.cluster.actions import MembershipEvent
 from notchflow.cluster.contacts import NEVER
 from notchflow.cluster.fleet_size import FleetSize
-from notchflow.cluster.transport import ClusterTransport
 from notchflow.cluster.history import History
-from notchflow.cluster.updates import STATE_NAMES
 from notchflow.cluster.members import Members
 from notchflow.cluster.model import Incarnation, Record, State
 from notchflow.cluster.name_claim import ClaimState
+from notchflow.cluster.transport import ClusterTransport
+from notchflow.cluster.updates import STATE_NAMES
 from notchflow.hosting.rules import FleetRules
 from notchflow.hosting.schema import ClusterModel
 from notchflow.hosting.shared_limits import TERMS, SharedLimits
@@ -99,7 +99,9 @@
         life = Incarnation(taken.epoch, secrets.randbits(62))
         me = Record(model.name, life, 0, State.ALIVE, model.listen, _version())
         self.core = Members(me, model.roster, model.core(), Random(secrets.randbits(64)), model.seeds)
-        self.edge = ClusterTransport(loop, self.core, secret, model.listen, model.addresses, self._keep, self._told)
+        self.edge = ClusterTransport(
+            loop, self.core, secret, model.listen, model.addresses, self._keep, self._told
+        )
         self.limits = (
             SharedLimits(loop, self.edge, Random(secrets.randbits(64)), longest_ms, classes)
             if model.limits == "fleet"
@@ -198,12 +200,16 @@
         of the tenants' limits."""
         standing = self.core.standing(self.edge.now()).value
         fields = (b"X-Standing: %b\r\n" % standing.encode(), b"X-Instance: %b\r\n" % self.model.name.encode())
-        opened = (self.limits is None or self.limits.opened()) and (self.rules is None or self.rules.may_act())
+        opened = (self.limits is None or self.limits.opened()) and (
+            self.rules is None or self.rules.may_act()
+        )
         return LocalReply(200 if opened and self.core.accepts_requests() and not away else 503, fields, b"")
 
     def turned_away(self) -> LocalReply | None:
         """What a request is told while this instance may take none under its name."""
-        if self.core.accepts_requests() or self.core.name_claim.state is ClaimState.LEFT:  # who leaves serves what still comes
+        if (
+            self.core.accepts_requests() or self.core.name_claim.state is ClaimState.LEFT
+        ):  # who leaves serves what still comes
             return None
         if self.core.name_claim.state is ClaimState.CONTESTED:
             why = "Another instance has this one's name; nothing was done, trying again is harmless."
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -22,10 +22,10 @@
 
 from notchflow.admin.operations import ApiProblem, Change, Done
 from notchflow.cluster.agreement.driver import Agreement
-from notchflow.cluster.agreement.storage import Keep, load
 from notchflow.cluster.agreement.raft import Raft
-from notchflow.cluster.agreement.replica import HardState, Role, RaftSettings, Snapshot
+from notchflow.cluster.agreement.replica import HardState, RaftSettings, Role, Snapshot
 from notchflow.cluster.agreement.session import SessionSettings
+from notchflow.cluster.agreement.storage import Keep, load
 from notchflow.cluster.transport import ClusterTransport
 from notchflow.net.exchange import LocalReply
 from notchflow.state.database import Database
--- a/notchflow/hosting/shared_limits.py
+++ b/notchflow/hosting/shared_limits.py
@@ -8,12 +8,18 @@
 from typing import Any, Final
 
 from notchflow.cluster.budgets import Budgets, TokenTerms
-from notchflow.cluster.fleet_metrics import CLASS_PREFIX, CLASS_METRICS, TENANT_METRICS, FleetMetrics, MetricValues
-from notchflow.cluster.transport import ClusterTransport
 from notchflow.cluster.concurrency_limits import ConcurrencyLimits
 from notchflow.cluster.concurrency_limits import SlotTerms as HoldTerms
-from notchflow.cluster.messages import MetricsAck, MetricsUpdate, LoanGrant, Message, LoanRequest
+from notchflow.cluster.fleet_metrics import (
+    CLASS_METRICS,
+    CLASS_PREFIX,
+    TENANT_METRICS,
+    FleetMetrics,
+    MetricValues,
+)
 from notchflow.cluster.local_state import Sender
+from notchflow.cluster.messages import LoanGrant, LoanRequest, Message, MetricsAck, MetricsUpdate
+from notchflow.cluster.transport import ClusterTransport
 from notchflow.operations.metrics import ClassCounts
 from notchflow.tenancy.limits import Usage
 from notchflow.tenancy.model import Limits
@@ -76,7 +82,9 @@
         self.ticking: asyncio.TimerHandle | None = None
         edge.handlers[LoanRequest] = self._asked
         edge.handlers[LoanGrant] = self._granted
-        self.holds = ConcurrencyLimits(core.name, core.view.roster, HoldTerms(longest_ms + HELD_ON_MS), rng, edge.now())
+        self.holds = ConcurrencyLimits(
+            core.name, core.view.roster, HoldTerms(longest_ms + HELD_ON_MS), rng, edge.now()
+        )
         self.ledger = FleetMetrics(core.name, core.view.roster)
         self.usages: dict[str, Usage] = {}
         self.touched: dict[str, int] = {}  # rounds since a tenant's figures last changed
@@ -174,7 +182,9 @@
                 del self.touched[tenant]
         self._count_classes()
         view = self.edge.core.view
-        lives = {name: record.incarnation for name in view.present() if (record := view.get(name)) is not None}
+        lives = {
+            name: record.incarnation for name in view.present() if (record := view.get(name)) is not None
+        }
         for name, counts in self.ledger.tick(lives):
             self.edge.send(name, counts)
 
--- a/notchflow/interface.py
+++ b/notchflow/interface.py
@@ -232,7 +232,9 @@
     size: float | None = None
     retry: bool = False
     write: bool = False
-    body_incomplete: bool = False  # its body is still coming: `BodyArrived` tells the deadline that it has from then on
+    body_incomplete: bool = (
+        False  # its body is still coming: `BodyArrived` tells the deadline that it has from then on
+    )
     earlier: float | None = None  # when a request with the same effect may first have run
 
 
--- a/notchflow/net/attempt.py
+++ b/notchflow/net/attempt.py
@@ -9,7 +9,7 @@
 from notchflow import wire
 from notchflow.interface import Status
 from notchflow.net.connection import Connection
-from notchflow.net.exchange import UpstreamResponse, ConnectionHost, ActiveRequest
+from notchflow.net.exchange import ActiveRequest, ConnectionHost, UpstreamResponse
 from notchflow.net.pool import Pool
 from notchflow.net.timers import TimerId
 
--- a/notchflow/net/client.py
+++ b/notchflow/net/client.py
@@ -11,9 +11,9 @@
 
 from httptools import HttpRequestParser
 
-from notchflow.net.request_reader import ARRIVE_MS, BODY_MAX, BODY_RATE, RequestReader, Entrance
-from notchflow.net.exchange import CLIENT_CLOSED, REASON_PHRASES, UpstreamResponse, ClientRequest, LocalReply
+from notchflow.net.exchange import CLIENT_CLOSED, REASON_PHRASES, ClientRequest, LocalReply, UpstreamResponse
 from notchflow.net.request_head import PLAIN, info_size, number_of, readable
+from notchflow.net.request_reader import ARRIVE_MS, BODY_MAX, BODY_RATE, Entrance, RequestReader
 
 log = logging.getLogger(__name__)
 
@@ -200,7 +200,13 @@
                 return
         path = call.url.partition(b"?")[0]
         if path == READY:
-            self._write(call, 503 if self.host.lifecycle.draining or not self.host.list_is_current() else 200, [], [], 0)
+            self._write(
+                call,
+                503 if self.host.lifecycle.draining or not self.host.list_is_current() else 200,
+                [],
+                [],
+                0,
+            )
             return
         if self.frontend.door is not None:
             reply = self.frontend.door.begin(call)
@@ -217,7 +223,9 @@
             self.fail(call, 405)
         elif call.body_not_held:
             log.warning("memory is short: a request is refused")
-            call.class_counts = self.host.metrics.begin_request(call.headers.get(b"x-call-class", b"").decode("latin-1"))
+            call.class_counts = self.host.metrics.begin_request(
+                call.headers.get(b"x-call-class", b"").decode("latin-1")
+            )
             self.refuse(call, 0.0)
         else:
             self._request(call, key.decode("latin-1"))
@@ -286,7 +294,9 @@
     def _reply(self, call: ClientRequest, reply: LocalReply) -> None:
         self._write(call, reply.status, list(reply.headers), [reply.body], len(reply.body))
 
-    def _write(self, call: ClientRequest, status: int, headers: list[bytes], body: list[bytes], size: int) -> None:
+    def _write(
+        self, call: ClientRequest, status: int, headers: list[bytes], body: list[bytes], size: int
+    ) -> None:
         if self.transport is None or self.current is not call:
             return
         keep = self._keeps(call)
@@ -338,7 +348,11 @@
         call.keep_alive = self._keeps(call)
         self.transport.write(
             b"HTTP/1.1 200 OK\r\n%b%b%b\r\n"
-            % (b"".join(answer.forwarded_headers), framing, b"" if call.keep_alive else b"Connection: close\r\n")
+            % (
+                b"".join(answer.forwarded_headers),
+                framing,
+                b"" if call.keep_alive else b"Connection: close\r\n",
+            )
         )
         for data in answer.body:
             self.stream(data)
--- a/notchflow/net/connection.py
+++ b/notchflow/net/connection.py
@@ -10,7 +10,7 @@
 
 from httptools import HttpParserError, HttpResponseParser
 
-from notchflow.net.exchange import HOP_BY_HOP, UpstreamResponse, ConnectionHost
+from notchflow.net.exchange import HOP_BY_HOP, ConnectionHost, UpstreamResponse
 
 log = logging.getLogger(__name__)
 
@@ -365,7 +365,9 @@
         named = answer.headers.get(b"connection")
         if named is not None and answer.forwarded_headers:
             drop = tuple(t.strip().lower() + b":" for t in named.split(b","))
-            answer.forwarded_headers = [line for line in answer.forwarded_headers if not line.lower().startswith(drop)]
+            answer.forwarded_headers = [
+                line for line in answer.forwarded_headers if not line.lower().startswith(drop)
+            ]
         if answer.length is None or answer.length <= self.exchange.hold_max:
             return
         if answer.length > LENGTH_MAX:
--- a/notchflow/net/console.py
+++ b/notchflow/net/console.py
@@ -57,7 +57,9 @@
         done, no = operated.is_serving(), 503
     else:
         done, no = operated.enter_standby() if path == STANDBY else operated.activate(), 409
-    return LocalReply(200, TEXT, b"yes\n") if done else LocalReply(no, TEXT, b"no: not ready, or told to end\n")
+    return (
+        LocalReply(200, TEXT, b"yes\n") if done else LocalReply(no, TEXT, b"no: not ready, or told to end\n")
+    )
 
 
 class Caller(asyncio.Protocol):
--- a/notchflow/net/discovery.py
+++ b/notchflow/net/discovery.py
@@ -10,11 +10,11 @@
 from notchflow.interface import ListKind, Membership
 from notchflow.net.clock import Clock
 from notchflow.net.connection import Connection, IdleLimit
-from notchflow.net.exchange import UpstreamResponse, DiscoveryHost
+from notchflow.net.exchange import DiscoveryHost, UpstreamResponse
 from notchflow.net.node_list import Address, NodeList, decode_node_list, node_id, parse_address
 from notchflow.net.pool import Pool
-from notchflow.net.timers import TimerWheel, TimerId
-from notchflow.net.watch import WatchAction, StartCall, CancelCall, ReportFailure, ApplyList, ListWatch
+from notchflow.net.timers import TimerId, TimerWheel
+from notchflow.net.watch import ApplyList, CancelCall, ListWatch, ReportFailure, StartCall, WatchAction
 
 __all__ = ["Address", "Call", "Discovery", "NodeList", "decode_node_list", "node_id", "parse_address"]
 
@@ -29,7 +29,8 @@
 
 class Reserve:
     """The host as discovery's connections see it: their descriptors are kept apart, for a proxy that has used
-    up its own must hear of the list all the same. `host.RESERVED_DESCRIPTORS` counts the two that may be open."""
+    up its own must hear of the list all the same. `host.RESERVED_DESCRIPTORS` counts the two that
+    may be open."""
 
     def __init__(self, host: DiscoveryHost) -> None:
         self.loop: asyncio.AbstractEventLoop = host.loop
--- a/notchflow/net/dispatcher.py
+++ b/notchflow/net/dispatcher.py
@@ -14,6 +14,7 @@
 from notchflow.interface import (
     Action,
     BodyArrived,
+    BodyDiscarded,
     Cancel,
     ClientGone,
     Event,
@@ -26,7 +27,6 @@
     Send,
     SetTimer,
     Settings,
-    BodyDiscarded,
     Status,
     StreamStarted,
     Timer,
@@ -36,11 +36,11 @@
 from notchflow.net.clock import Clock
 from notchflow.net.config import Config
 from notchflow.net.discovery import Discovery
-from notchflow.net.exchange import CLIENT_CLOSED, UpstreamResponse, ClientRequest, ActiveRequest
+from notchflow.net.exchange import CLIENT_CLOSED, ActiveRequest, ClientRequest, UpstreamResponse
 from notchflow.net.frontend import Frontend
 from notchflow.net.pool import Pool
 from notchflow.net.stalls import StallDetector
-from notchflow.net.timers import TimerWheel, TimerId
+from notchflow.net.timers import TimerId, TimerWheel
 from notchflow.operations.metrics import ProxyMetrics
 from notchflow.policy.balancer import Balancer
 
@@ -346,7 +346,11 @@
 
     def try_discard_body(self, item: ActiveRequest) -> bool:
         """Whether the start of the body need not be held any more, as a box is getting it."""
-        if item.done or len(item.outstanding_attempts) != 1 or any(a.connection is None for a in item.outstanding_attempts.values()):
+        if (
+            item.done
+            or len(item.outstanding_attempts) != 1
+            or any(a.connection is None for a in item.outstanding_attempts.values())
+        ):
             return False
         self.dispatch(BodyDiscarded(item.id))
         return True
@@ -387,7 +391,9 @@
         self._end(item)
         if item.streaming_attempt is not None:
             item.streaming_attempt.abandon(Status.CANCELLED)
-        if item.client_request.streams_body and not item.client_request.body_complete:  # whatever may be cancelled: the rest never comes
+        if (
+            item.client_request.streams_body and not item.client_request.body_complete
+        ):  # whatever may be cancelled: the rest never comes
             self._abandon_attempts(item)
         self.dispatch(ClientGone(item.id))
 
@@ -420,7 +426,11 @@
             item.may_have_run = True
             if item.client_request.ticket is not None:
                 item.client_request.ran = True
-        if status is MOOT and not (item.done or item.outstanding_attempts) and item.client_request.client.has_left(self.clock.now()):
+        if (
+            status is MOOT
+            and not (item.done or item.outstanding_attempts)
+            and item.client_request.client.has_left(self.clock.now())
+        ):
             self._depart(item)
         if not item.done:
             call = item.client_request
--- a/notchflow/net/exchange.py
+++ b/notchflow/net/exchange.py
@@ -12,7 +12,7 @@
 from notchflow.net.clock import Clock
 from notchflow.net.node_list import NodeList
 from notchflow.net.stalls import StallDetector
-from notchflow.net.timers import TimerWheel, TimerId
+from notchflow.net.timers import TimerId, TimerWheel
 from notchflow.operations.lifecycle import Lifecycle
 from notchflow.operations.metrics import ClassCounts, ProxyMetrics
 
@@ -199,7 +199,9 @@
         self.keep_alive = False
         self.chunks_allowed = True
         self.arrived_at = 0.0
-        self.earliest_arrival_at = 0.0  # when it may have come: before it was read, if the process stood still
+        self.earliest_arrival_at = (
+            0.0  # when it may have come: before it was read, if the process stood still
+        )
         self.active: ActiveRequest | None = None
         self.error_status = 0  # the status that a request which never reaches the module is answered with
         self.ticket: Ticket | None = None
@@ -210,7 +212,9 @@
         self.drop_body = False  # it is answered already: the rest of it is read and dropped
         self.chunked = False  # it goes on in chunks, as its length is not known
         self.ran = False  # an attempt may have run; kept where there is a ticket
-        self.local_reply: LocalReply | None = None  # settled at the end of the head: the body is read and dropped
+        self.local_reply: LocalReply | None = (
+            None  # settled at the end of the head: the body is read and dropped
+        )
 
     def release_body(self) -> None:
         """Lets go of the body and of the bytes that are counted for it."""
--- a/notchflow/net/frontend.py
+++ b/notchflow/net/frontend.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from notchflow.net.client import ClientConnection
-from notchflow.net.exchange import Gateway, ClientHost
+from notchflow.net.exchange import ClientHost, Gateway
 
 log = logging.getLogger(__name__)
 
--- a/notchflow/net/host.py
+++ b/notchflow/net/host.py
@@ -12,15 +12,15 @@
 from notchflow.net.config import Config
 from notchflow.net.connection import IdleLimit
 from notchflow.net.console import Console, callers_of
-from notchflow.net.dispatcher import Dispatcher
 from notchflow.net.discovery import Discovery
+from notchflow.net.dispatcher import Dispatcher
 from notchflow.net.exchange import Gateway
 from notchflow.net.frontend import Frontend
+from notchflow.net.handover import FDS_MAX, Link, Succession
 from notchflow.net.node_list import Address, NodeList, decode_node_list, encode_member
 from notchflow.net.pool import Pool
-from notchflow.net.handover import FDS_MAX, Link, Succession
-from notchflow.operations.lifecycle import Lifecycle, Phase
 from notchflow.operations.handover import Shares
+from notchflow.operations.lifecycle import Lifecycle, Phase
 
 log = logging.getLogger(__name__)
 
@@ -49,9 +49,13 @@
         super().__init__(config, loop, clock)
         self.idle_limit = IdleLimit(config.conn_idle_ms)
         callers = callers_of(config.sockets) if config.console is not None else 0
-        self.descriptor_limit = self.total_descriptor_limit = max(config.sockets - RESERVED_DESCRIPTORS - callers, 8)
+        self.descriptor_limit = self.total_descriptor_limit = max(
+            config.sockets - RESERVED_DESCRIPTORS - callers, 8
+        )
         base = BASE_MB + (BESIDE_MB if config.accept_fd is not None else 0.0)
-        self.buffer_limit = self.total_buffer_limit = max(config.memory_mb - base, 16.0) * HELD_SHARE * (1 << 20)
+        self.buffer_limit = self.total_buffer_limit = (
+            max(config.memory_mb - base, 16.0) * HELD_SHARE * (1 << 20)
+        )
         self.stop_by = float("inf")
         self.lifecycle = Lifecycle()
         self._apply_settings(config)
@@ -194,7 +198,9 @@
         while not heir.over and (given := self.frontend.hand_over_idle(FDS_MAX)):
             self.handover.pass_clients(heir, given)
         now = self.clock.now()
-        if now >= self.stop_by or not (self.frontend.clients or self.frontend.adopting or self.handover.passing):
+        if now >= self.stop_by or not (
+            self.frontend.clients or self.frontend.adopting or self.handover.passing
+        ):
             self.loop.stop()
         else:
             self.call_at(now + DRAIN_STEP_MS, self._succeed)
@@ -321,7 +327,11 @@
         for pool in retired:  # now that the module knows better than to send there again
             pool.cancel_dials()
         # and what is still being written there, as it would count as new with its last byte
-        flowing = [item for item in self.active_requests.values() if item.client_request.streams_body] if retired else ()
+        flowing = (
+            [item for item in self.active_requests.values() if item.client_request.streams_body]
+            if retired
+            else ()
+        )
         for item in flowing:
             if any(attempt.is_writing_to(retired) for attempt in item.outstanding_attempts.values()):
                 self._abandon_attempts(item)
--- a/notchflow/net/pool.py
+++ b/notchflow/net/pool.py
@@ -17,7 +17,9 @@
 
     __slots__ = ("host", "address", "connect_timeout_ms", "limit", "idle", "dials", "adopting", "retired")
 
-    def __init__(self, host: ConnectionHost, address: tuple[str, int], connect_ms: float, limit: IdleLimit) -> None:
+    def __init__(
+        self, host: ConnectionHost, address: tuple[str, int], connect_ms: float, limit: IdleLimit
+    ) -> None:
         self.host = host
         self.address = address
         self.connect_timeout_ms = connect_ms
@@ -153,7 +155,9 @@
     def close_expired(self, now: float) -> None:
         """Closes connections that have been idle for too long."""
         keep = 0
-        while keep < len(self.idle) and (self.retired or self.idle[keep].idle_since + self.limit.limit_ms <= now):
+        while keep < len(self.idle) and (
+            self.retired or self.idle[keep].idle_since + self.limit.limit_ms <= now
+        ):
             keep += 1
         for connection in self.idle[:keep]:
             connection.close()
--- a/notchflow/net/process.py
+++ b/notchflow/net/process.py
@@ -14,8 +14,8 @@
 from notchflow import logs
 from notchflow.net.collector import freeze_startup_objects
 from notchflow.net.config import ConfigError, load, reload
-from notchflow.net.host import Host
 from notchflow.net.handover import Succession
+from notchflow.net.host import Host
 
 log = logging.getLogger(__name__)
 
--- a/notchflow/net/request_reader.py
+++ b/notchflow/net/request_reader.py
@@ -9,7 +9,7 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
-from notchflow.net.exchange import HOP_BY_HOP, ClientRequest, Gateway, ClientHost
+from notchflow.net.exchange import HOP_BY_HOP, ClientHost, ClientRequest, Gateway
 
 log = logging.getLogger(__name__)
 
@@ -217,7 +217,9 @@
         if named is not None and b"," in named or named and named.lower() not in (b"keep-alive", b"close"):
             tokens = {t.strip().lower() for t in named.split(b",")} - END_TO_END
             drop = tuple(t + b":" for t in tokens if t)
-            call.forwarded_headers = [line for line in call.forwarded_headers if not line.lower().startswith(drop)]
+            call.forwarded_headers = [
+                line for line in call.forwarded_headers if not line.lower().startswith(drop)
+            ]
         coding = call.headers.get(b"transfer-encoding")
         if coding is not None and coding.strip().lower() != b"chunked":
             self._fault(501, f"the coding {coding!r:.60}")  # the box would be told of none
--- a/notchflow/net/stalls.py
+++ b/notchflow/net/stalls.py
@@ -10,7 +10,8 @@
 
 
 class StallDetector:
-    """Knows the last moment at which the process is known to have run, from a timer that fires every STALL_CHECK_MS.
+    """Knows the last moment at which the process is known to have run, from a timer that fires every
+    STALL_CHECK_MS.
 
     A stall shorter than STALL_CHECK_MS is not seen; each longer than twice that is.
     """
--- a/notchflow/net/watch.py
+++ b/notchflow/net/watch.py
@@ -177,7 +177,9 @@
         self.revision, self.heard_at = listing.revision, now
         self.whole = self.whole and not listing.complete
         self.again_ms = AGAIN_MS
-        actions: list[WatchAction] = [ApplyList(listing, ListKind.FULL if listing.complete else ListKind.DELTA)]
+        actions: list[WatchAction] = [
+            ApplyList(listing, ListKind.FULL if listing.complete else ListKind.DELTA)
+        ]
         actions.extend(CancelCall(other.number) for other in self.pending_calls)
         self.pending_calls.clear()
         if not self.wanted:
@@ -198,7 +200,9 @@
         for out in [o for o in self.pending_calls if self._overdue_at(o) <= now]:
             self._ended(out.number)
             actions += [CancelCall(out.number), ReportFailure("no answer", True)]
-            if not self.pending_calls:  # what discovery does not take it turns away: here a connection broke unseen
+            if (
+                not self.pending_calls
+            ):  # what discovery does not take it turns away: here a connection broke unseen
                 actions.extend(self._call(now))
             elif not self.pending_calls[0].soon:
                 self.renew_at = now
@@ -234,7 +238,9 @@
     def _renew(self, now: float) -> list[WatchAction]:
         if len(self.pending_calls) == 1:
             return self._call(now)
-        silent = self.pending_calls.pop()  # as silent as the first, which an agent that is back may still answer
+        silent = (
+            self.pending_calls.pop()
+        )  # as silent as the first, which an agent that is back may still answer
         return [CancelCall(silent.number), *self._call(now)]
 
     def _overdue_at(self, out: PendingCall) -> float:
--- a/notchflow/policy/balancer.py
+++ b/notchflow/policy/balancer.py
@@ -13,6 +13,7 @@
 from notchflow.interface import (
     Action,
     BodyArrived,
+    BodyDiscarded,
     Cancel,
     ClientGone,
     Event,
@@ -22,12 +23,11 @@
     Outcome,
     Refuse,
     Request,
-    SettingsChanged,
     Rules,
     Send,
     SetTimer,
     Settings,
-    BodyDiscarded,
+    SettingsChanged,
     State,
     Status,
     StreamStarted,
@@ -46,7 +46,10 @@
 COMFORT: Final = 0.7  # of a class's aim: an answer in so much of it shows no pressure
 WATCH_EARLY: Final = 0.3
 WATCH_SPACING_MS: Final = 25.0  # between the first calls of all instances, on average
-WATCH_BACKOFF_MS: Final = (250.0, 1_000.0)  # twice this and two calls that queue for 2 s: 6 s, when changes count
+WATCH_BACKOFF_MS: Final = (
+    250.0,
+    1_000.0,
+)  # twice this and two calls that queue for 2 s: 6 s, when changes count
 BACKOFF_SHARE: Final = 0.4  # of the time to ask within, at most
 
 
--- a/notchflow/policy/fleet.py
+++ b/notchflow/policy/fleet.py
@@ -7,6 +7,7 @@
 
 from notchflow.interface import ListKind, Member, Membership, Outcome, RequestClass, Settings, State
 from notchflow.policy.health import failed, listen
+from notchflow.policy.instance_count import many
 from notchflow.policy.kinds import Beliefs, Steps, select_estimator
 from notchflow.policy.nodes import (
     ANSWERED,
@@ -20,7 +21,6 @@
     Node,
 )
 from notchflow.policy.rendezvous import Order
-from notchflow.policy.instance_count import many
 
 BOUND: Final = 1.6
 BOUND_MIN: Final = 4.0  # in flight below which the bound never acts
--- a/notchflow/policy/placement.py
+++ b/notchflow/policy/placement.py
@@ -30,7 +30,9 @@
             pair = self.rng.sample(fleet.ready, min(2, len(fleet.ready)))
             return [*sorted(pair, key=lambda n: n.in_flight / max(n.weight, 1e-9)), *fleet.ready]
         order = fleet.order(request.key)
-        if request.write and not fleet.cache_aside:  # no copy serves it, at home or elsewhere: the least busy may
+        if (
+            request.write and not fleet.cache_aside
+        ):  # no copy serves it, at home or elsewhere: the least busy may
             return sorted(order, key=lambda n: fleet.burden(n, now))
         width, _ = self.hot_keys.spread.get(request.key, (1, 0.0))
         if width < 2 or not self.hot_keys.factoring:
--- a/notchflow/tenancy/door.py
+++ b/notchflow/tenancy/door.py
@@ -156,7 +156,9 @@
         self.memory: Remembers | None = None
         self.outside: LocalReply | None = None  # what all are told while this instance may take nothing
         self.doubts: Callable[[], LocalReply | None] | None = None  # whether the rules here may be acted on
-        self.ready: Callable[[], LocalReply] | None = None  # a readiness check's answer, in place of the host's
+        self.ready: Callable[[], LocalReply] | None = (
+            None  # a readiness check's answer, in place of the host's
+        )
         self.run, self.number = run, 0  # ids: 8 digits of this run of the process, 8 of the request
         self.suspended = reply(403, "tenant-suspended", "The operator has suspended this tenant.")
         self.retiring = reply(403, "tenant-retiring", "What is in hand is answered; nothing new is taken.")
@@ -219,7 +221,9 @@
             )
         return self._allowed(call, entry, match, target)
 
-    def _allowed(self, call: ClientRequest, entry: Entry, match: Match, target: Target) -> Ticket | LocalReply:
+    def _allowed(
+        self, call: ClientRequest, entry: Entry, match: Match, target: Target
+    ) -> Ticket | LocalReply:
         if entry.tenant.state is not TenantState.ACTIVE:
             return self.suspended if entry.tenant.state is TenantState.SUSPENDED else self.retiring
         length = call.headers.get(b"content-length")
--- a/notchflow/wire.py
+++ b/notchflow/wire.py
@@ -135,7 +135,11 @@
         return None
     values = fields["Metrics"].split(",")
     try:
-        return {LOAD_FIELD_NAMES[n]: float(v) for n, v in zip(names, values, strict=False) if n in LOAD_FIELD_NAMES and v}
+        return {
+            LOAD_FIELD_NAMES[n]: float(v)
+            for n, v in zip(names, values, strict=False)
+            if n in LOAD_FIELD_NAMES and v
+        }
     except ValueError:
         raise WireError(f"expected numbers in Metrics, got {fields['Metrics'][:40]!r}") from None
 
--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -16,7 +16,14 @@
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import HardState, Replica
 from notchflow.cluster.agreement.session import Lease
-from notchflow.cluster.agreement.wire import AppendEntries, AppendEntriesResponse, Entry, EntryKind, RequestVote, RequestVoteResponse
+from notchflow.cluster.agreement.wire import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    EntryKind,
+    RequestVote,
+    RequestVoteResponse,
+)
 from notchflow.emulator.agreement import Disk, World
 from notchflow.emulator.agreement_explorer import Scope, explore
 from notchflow.emulator.agreement_trouble import Trouble
@@ -73,7 +80,9 @@
 def test_calls_are_answered_and_the_lease_is_used_up_in_a_cut() -> None:
     """What the rules above would not show: that anything is done at all."""
     world = World(["p1", "p2", "p3"], 7)
-    assert world.until(lambda: all(n.session.lease.is_valid(n.clock()) for n in world.nodes.values()), 5_000.0)
+    assert world.until(
+        lambda: all(n.session.lease.is_valid(n.clock()) for n in world.nodes.values()), 5_000.0
+    )
     first = world.operate("p1", "change")
     world.run(200.0)
     assert first is not None and first.version > 0
@@ -184,7 +193,9 @@
 def test_an_entry_of_an_earlier_term_is_not_agreed_by_a_majority_that_has_it() -> None:
     """Figure 8 of the paper: it might be replaced still."""
     log = Log(0, 0, [Entry(1, EntryKind.NOOP), Entry(2, EntryKind.COMMAND, b"x")])
-    first = Raft("p1", ["p1", "p2", "p3"], replica.RaftSettings(), random.Random(1), 0.0, HardState(3, "", True), log)
+    first = Raft(
+        "p1", ["p1", "p2", "p3"], replica.RaftSettings(), random.Random(1), 0.0, HardState(3, "", True), log
+    )
     first.start(0.0)
     now = first.election_at
     first.tick(now)
@@ -265,7 +276,10 @@
 
 def counts_what_is_not_durable(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        Replica, "durable", property(lambda self: self.log.last_index, lambda self, value: None), raising=False
+        Replica,
+        "durable",
+        property(lambda self: self.log.last_index, lambda self, value: None),
+        raising=False,
     )
 
 
@@ -273,7 +287,9 @@
     def take(self: Raft, sender: str, body: AppendEntries) -> None:
         before = min(body.before, self.log.last_index)
         term = self.log.term_at(before)
-        taken(self, sender, AppendEntries(body.term, before, term or 0, body.commit, body.round, body.entries))
+        taken(
+            self, sender, AppendEntries(body.term, before, term or 0, body.commit, body.round, body.entries)
+        )
 
     taken = Raft._take
     patch.setattr(Raft, "_take", take)
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -12,7 +12,7 @@
 
 from notchflow.cluster import budgets
 from notchflow.cluster.budgets import Account, Budgets, Held, Loan, Lot, Part, TokenTerms, owners
-from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.budget_explorer import BUDGETS, Play, Scope, explore
 from notchflow.emulator.budgets import Budget, Ledger, World
@@ -54,7 +54,9 @@
 def test_an_instance_that_starts_has_nothing_until_loans_of_its_former_life_have_ended() -> None:
     core = Budgets("p1", ALL, TERMS, random.Random(1), 1_000.0)
     assert core.take("t", 1_000.0 + TERMS.outstanding_ms, 100.0, 20.0) > 0
-    assert core.take("t", 1_000.0 + TERMS.outstanding_ms + 25.0, 100.0, 20.0) == 0, "a half of 100 a second by now"
+    assert (
+        core.take("t", 1_000.0 + TERMS.outstanding_ms + 25.0, 100.0, 20.0) == 0
+    ), "a half of 100 a second by now"
 
 
 def test_what_is_lent_is_gone_until_it_is_settled_or_has_ended() -> None:
@@ -161,7 +163,9 @@
     asked = core.tick(10_050.0, ["p2"])
     assert len(asked) == budgets.MESSAGES_A_TICK
     assert max(len(want.items) for _, want in asked) == budgets.TENANTS_A_MESSAGE
-    assert not core.tick(20_000.0, ["p2"]) and not core.active_keys, "who is not asked any more asks for nothing"
+    assert (
+        not core.tick(20_000.0, ["p2"]) and not core.active_keys
+    ), "who is not asked any more asks for nothing"
 
 
 # -- many instances
--- a/tests/cluster/test_counts.py
+++ b/tests/cluster/test_counts.py
@@ -6,17 +6,17 @@
 
 from notchflow.cluster.fleet_metrics import (
     CLASS_PREFIX,
-    TENANT_METRICS,
     GAUGES,
     MESSAGES_A_TICK,
     ROWS_A_MESSAGE,
+    TENANT_METRICS,
     TENANTS_MAX,
     ZERO,
     FleetMetrics,
     MetricValues,
     fitted,
 )
-from notchflow.cluster.messages import MetricsAck, MetricsUpdate, MetricsRow
+from notchflow.cluster.messages import MetricsAck, MetricsRow, MetricsUpdate
 from notchflow.cluster.model import Incarnation
 
 NAMES = ("p1", "p2", "p3")
@@ -115,17 +115,28 @@
 
 def test_counters_of_a_life_that_has_ended_stay_and_what_it_had_in_hand_does_not() -> None:
     ledger = FleetMetrics("p1", NAMES)
-    ledger.handle_update(0.0, "p2", Incarnation(1, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(7, held=3)),)))
-    ledger.handle_update(1.0, "p2", Incarnation(2, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(2, held=1)),)))
+    ledger.handle_update(
+        0.0, "p2", Incarnation(1, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(7, held=3)),))
+    )
+    ledger.handle_update(
+        1.0, "p2", Incarnation(2, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(2, held=1)),))
+    )
     found = ledger.sum(1.0, "a", frozenset(), FOREVER).values
     assert (found["asked"], found["held"]) == (9, 1)
-    assert ledger.handle_update(2.0, "p2", Incarnation(1, 1), MetricsUpdate(1, 2, (MetricsRow("a", values(50)),))) is None
+    assert (
+        ledger.handle_update(
+            2.0, "p2", Incarnation(1, 1), MetricsUpdate(1, 2, (MetricsRow("a", values(50)),))
+        )
+        is None
+    )
     assert ledger.sum(2.0, "a", frozenset(), FOREVER).values["asked"] == 9
 
 
 def test_a_part_whose_beginning_is_missing_is_asked_for_again() -> None:
     ledger = FleetMetrics("p1", NAMES)
-    assert ledger.handle_update(0.0, "p2", Incarnation(1, 1), MetricsUpdate(5, 6, (MetricsRow("a", values(7)),))) == MetricsAck(0)
+    assert ledger.handle_update(
+        0.0, "p2", Incarnation(1, 1), MetricsUpdate(5, 6, (MetricsRow("a", values(7)),))
+    ) == MetricsAck(0)
     assert ledger.sum(0.0, "a", frozenset(), FOREVER).values["asked"] == 0
 
 
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -15,14 +15,14 @@
 
 from notchflow.cluster import identity
 from notchflow.cluster.actions import MembershipEvent
-from notchflow.cluster.transport import LENGTH, SERVED_MAX, ClusterTransport
-from notchflow.cluster.histories import merge, format_lines
+from notchflow.cluster.addresses import AddressBook
+from notchflow.cluster.histories import format_lines, merge
 from notchflow.cluster.history import History
 from notchflow.cluster.identity import IdentityError
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import DATAGRAM_MAX, Envelope, Gossip, Ping, Update, encode_message
 from notchflow.cluster.model import Incarnation, Record, Settings, Standing, State
-from notchflow.cluster.addresses import AddressBook
+from notchflow.cluster.transport import LENGTH, SERVED_MAX, ClusterTransport
 from standins.ports import free_ports
 
 SECRET = b"s" * 32
@@ -107,7 +107,9 @@
             new.bind()
             new.start()
             known = pair.edges[0].core.view
-            await pair.until(lambda: (held := known.get("p1")) is not None and held.incarnation == me.incarnation)
+            await pair.until(
+                lambda: (held := known.get("p1")) is not None and held.incarnation == me.incarnation
+            )
             states, until = set(), pair.edges[0].now() + 6_000.0  # past every time to suspect and to bury
             while pair.edges[0].now() < until:
                 states.add(known.state("p1"))
@@ -140,7 +142,8 @@
     async def test() -> None:
         async with Pair((SECRET, b"o" * 32)) as pair:
             await pair.until(
-                lambda: pair.kinds() == {"foreign"} and all(edge.core.accepts_requests() for edge in pair.edges)
+                lambda: pair.kinds() == {"foreign"}
+                and all(edge.core.accepts_requests() for edge in pair.edges)
             )
             assert [edge.core.present_count() for edge in pair.edges] == [1, 1]
 
@@ -242,7 +245,9 @@
             pair.knock(encode_message(SECRET, Envelope("p0", life, edge.counter, "p0", Ping(1)))).close()
             await pair.until(lambda: edge.metrics["own"] > 0)
             assert edge.core.name_claim.incarnation == life
-            pair.knock(encode_message(SECRET, Envelope("p0", life, edge.counter + 1_000, "p0", Ping(1)))).close()
+            pair.knock(
+                encode_message(SECRET, Envelope("p0", life, edge.counter + 1_000, "p0", Ping(1)))
+            ).close()
             await pair.until(lambda: edge.core.name_claim.incarnation > life)
             assert edge.core.accepts_requests()
 
--- a/tests/cluster/test_explored.py
+++ b/tests/cluster/test_explored.py
@@ -12,9 +12,9 @@
 from notchflow.cluster.contacts import Contacts
 from notchflow.cluster.members import Members
 from notchflow.cluster.model import Record, State
+from notchflow.cluster.name_claim import NameClaim
 from notchflow.cluster.probes import Round
 from notchflow.cluster.suspicion import Suspicion
-from notchflow.cluster.name_claim import NameClaim
 from notchflow.emulator.explorer import Play, Scope, explore
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
--- a/tests/cluster/test_holds.py
+++ b/tests/cluster/test_holds.py
@@ -10,7 +10,7 @@
 
 from notchflow.cluster.budgets import Loan
 from notchflow.cluster.concurrency_limits import Account, ConcurrencyLimits, Lot, SlotTerms
-from notchflow.cluster.messages import LoanGrant, Lent, LoanRequest, LoanItem
+from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.engine import Simulator
 
@@ -35,7 +35,9 @@
 
     def start(self, name: str) -> None:
         self.lives[name] = Incarnation(int(self.sim.now) + 1, self.rng.getrandbits(40))
-        made = self.nodes[name] = ConcurrencyLimits(name, NAMES, TERMS, random.Random(self.rng.random()), self.sim.now)
+        made = self.nodes[name] = ConcurrencyLimits(
+            name, NAMES, TERMS, random.Random(self.rng.random()), self.sim.now
+        )
         made.set_limit("t", LIMIT)
 
     def tick(self, name: str) -> None:
@@ -104,8 +106,12 @@
     return made
 
 
-def lent(core: ConcurrencyLimits, now: float, places: int, spent: tuple[int, ...] = (), number: int = 1) -> int:
-    grant = core.handle_loan_request(now, "p2", Incarnation(1, 1), LoanRequest(number, (LoanItem("t", places, spent),)))
+def lent(
+    core: ConcurrencyLimits, now: float, places: int, spent: tuple[int, ...] = (), number: int = 1
+) -> int:
+    grant = core.handle_loan_request(
+        now, "p2", Incarnation(1, 1), LoanRequest(number, (LoanItem("t", places, spent),))
+    )
     return sum(one.tokens for one in grant.lent)
 
 
@@ -115,7 +121,10 @@
     assert lent(core, now, 100, number=2) == 0 and core.free("t", now) == 2
     assert lent(core, now + 1.0, 0, spent=(1,), number=3) == 0 and core.free("t", now + 1.0) == 4
     assert lent(core, now + 2.0, 2, number=4) == 2
-    assert core.free("t", now + TERMS.outstanding_ms) == 2 and core.free("t", now + TERMS.outstanding_ms + 3.0) == 4
+    assert (
+        core.free("t", now + TERMS.outstanding_ms) == 2
+        and core.free("t", now + TERMS.outstanding_ms + 3.0) == 4
+    )
 
 
 def test_an_instance_that_starts_has_the_half_that_is_never_lent() -> None:
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from notchflow.cluster.actions import Action, Datagram, Exchange, PersistIncarnation, MembershipEvent
+from notchflow.cluster.actions import Action, Datagram, Exchange, MembershipEvent, PersistIncarnation
 from notchflow.cluster.contacts import Contacts, Link
 from notchflow.cluster.fleet_size import FleetSize
+from notchflow.cluster.local_state import Sender
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import Ack, Denial, Gossip, Message, Ping, Sync, Update
 from notchflow.cluster.model import Incarnation, Record, Settings, Standing, State
-from notchflow.cluster.local_state import Sender
-from notchflow.cluster.suspicion import Suspicion
 from notchflow.cluster.name_claim import ClaimState
+from notchflow.cluster.suspicion import Suspicion
 from notchflow.cluster.view import View
 
 ROSTER = ("p1", "p2", "p3", "p4")
@@ -245,7 +245,11 @@
     one.run(2_000.0)
     assert one.asked, "it asks what has become of that one"
     one.hear("p2", Gossip((Update(record("p1", State.DEAD, epoch=20)),)))
-    assert one.core.accepts_requests() and one.core.name_claim.incarnation.epoch == 21 and one.kept == [one.core.name_claim.incarnation]
+    assert (
+        one.core.accepts_requests()
+        and one.core.name_claim.incarnation.epoch == 21
+        and one.kept == [one.core.name_claim.incarnation]
+    )
 
 
 def test_a_start_with_a_lost_folder_and_an_early_clock_rises_over_the_life_that_is_known() -> None:
@@ -253,7 +257,11 @@
     assert not one.core.accepts_requests()
     known = Sync((record("p1", epoch=5_000), record("p2")), True)
     one.take(one.core.handle_sync_reply(one.now, one.sender("p2"), known))
-    assert one.core.accepts_requests() and one.core.name_claim.incarnation.epoch == 5_001 and one.kept[0].epoch == 5_001
+    assert (
+        one.core.accepts_requests()
+        and one.core.name_claim.incarnation.epoch == 5_001
+        and one.kept[0].epoch == 5_001
+    )
 
 
 def test_lives_of_one_epoch_are_told_apart_by_their_draws_and_equal_ones_are_drawn_anew() -> None:
@@ -322,7 +330,9 @@
     one.run(SETTINGS.join_ms - 1)
     assert not one.core.accepts_requests()
     one.run(2)
-    assert one.core.accepts_requests() and one.core.standing(one.now) is Standing.ALONE and len(one.asked) >= 2
+    assert (
+        one.core.accepts_requests() and one.core.standing(one.now) is Standing.ALONE and len(one.asked) >= 2
+    )
 
 
 def test_the_number_of_proxies_follows_slowly_down_soon_up_and_never_from_a_minority() -> None:
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -26,8 +26,8 @@
     Update,
     Window,
     _code,
-    encode_message,
     decode_message,
+    encode_message,
 )
 from notchflow.cluster.model import Incarnation, Record, State
 
@@ -125,7 +125,9 @@
     queue = Queue(4)
     for number in range(100):
         name = f"p{number}".ljust(63, "x")
-        queue.put(Update(Record(name, Incarnation(1 << 62, 1 << 62), 1 << 40, State.DEAD, "a" * 60, "v" * 20), name))
+        queue.put(
+            Update(Record(name, Incarnation(1 << 62, 1 << 62), 1 << 40, State.DEAD, "a" * 60, "v" * 20), name)
+        )
     news = queue.take(100, Update(RECORD))
     assert len(news) > 2 and news[0] == Update(RECORD)
     body = Ping(1 << 62, (1 << 63) - 1, (1 << 63) - 1, news)
@@ -136,7 +138,9 @@
 def test_newer_news_take_the_place_of_older_and_each_goes_out_a_bounded_number_of_times() -> None:
     queue = Queue(4)
     queue.put(Update(RECORD, "p1"))
-    dead = Record(RECORD.name, RECORD.incarnation, RECORD.revision, State.DEAD, RECORD.address, RECORD.version)
+    dead = Record(
+        RECORD.name, RECORD.incarnation, RECORD.revision, State.DEAD, RECORD.address, RECORD.version
+    )
     queue.put(Update(dead))
     sent = 0
     while queue:
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -25,7 +25,9 @@
             writer.transport.abort()
             rig.discovery.stop()
             crowd = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(2 * SOCKETS)]
-            await until(lambda: not frontend.accepting and len(frontend.clients) >= 0.7 * rig.host.descriptor_limit)
+            await until(
+                lambda: not frontend.accepting and len(frontend.clients) >= 0.7 * rig.host.descriptor_limit
+            )
             await rig.discovery.start(port)
             _, writer = await rig.calls.get()
             while writer.transport.is_closing():
@@ -77,7 +79,9 @@
             gate.open.set()
             answers = [await client.receive() for client in clients[:2]]
             assert [seen and seen.status for seen in answers] == [200, 200]
-            assert len(rig.host.frontend.clients) == 3 and rig.host.descriptors_used <= rig.host.descriptor_limit
+            assert (
+                len(rig.host.frontend.clients) == 3 and rig.host.descriptors_used <= rig.host.descriptor_limit
+            )
             await all_over(rig)
 
     run(test())
--- a/tests/effects/test_keeper.py
+++ b/tests/effects/test_keeper.py
@@ -13,7 +13,7 @@
 from notchflow.effects.memory import Rule
 from notchflow.effects.record import Effect, Fate
 from notchflow.interface import Effect as Kind
-from notchflow.net.exchange import Downstream, ClientRequest, LocalReply
+from notchflow.net.exchange import ClientRequest, Downstream, LocalReply
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Engine
 from standins.faulty_files import FaultyFiles
--- a/tests/emulator/test_watches.py
+++ b/tests/emulator/test_watches.py
@@ -10,7 +10,7 @@
 from notchflow.emulator.watch_explorer import draw, explore, play
 from notchflow.emulator.watches import Day, World
 from notchflow.net.node_list import NodeList
-from notchflow.net.watch import WatchAction, ReportFailure, PendingCall, ApplyList, ListWatch
+from notchflow.net.watch import ApplyList, ListWatch, PendingCall, ReportFailure, WatchAction
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -63,7 +63,9 @@
     return f"{number * 2654435761 % 2**64:016x}"
 
 
-def make_request(number: int, now: float, cls: str = "read", key: str | None = "use-number", **more: Any) -> Request:
+def make_request(
+    number: int, now: float, cls: str = "read", key: str | None = "use-number", **more: Any
+) -> Request:
     own = make_key(number) if key == "use-number" else key
     return Request(id=number, cls=cls, deadline=now + 900, key=own, **more)
 
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -14,11 +14,11 @@
 import pytest
 
 from notchflow.interface import Outcome, RequestClass, State, Status
+from notchflow.net.handover import Link, Place, Succession
 from notchflow.net.host import Host
 from notchflow.net.node_list import node_id
-from notchflow.net.handover import Link, Place, Succession
 from notchflow.operations.handover import FORMAT, HEAD, MAGIC, HandoverError, Reader, Shares, pack
-from tests.helpers import make_request, make_balancer, make_settings, sends
+from tests.helpers import make_balancer, make_request, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
 
 ANY = ("127.0.0.1", 0)
@@ -64,7 +64,9 @@
 def learned() -> tuple[Any, dict[str, Any]]:
     balancer = make_balancer()
     for number in range(400):
-        send = sends(balancer.handle(number * 5.0, make_request(number, number * 5.0, key=f"{number % 20:016x}")))[0]
+        send = sends(
+            balancer.handle(number * 5.0, make_request(number, number * 5.0, key=f"{number % 20:016x}"))
+        )[0]
         balancer.handle(number * 5.0 + 4, Outcome(number, 0, send.node, Status.OK, 12.0, closed=True))
     for number in (900, 901):
         send = sends(balancer.handle(2_000, make_request(number, 2_000, key="00")))[0]
@@ -77,7 +79,10 @@
     new = make_balancer(now=50_000)
     new.restore_state(50_000, told)
     assert new.fleet.class_latency_ms == old.fleet.class_latency_ms
-    assert new.hot_keys.topk.counters == old.hot_keys.topk.counters and new.hot_keys.topk.fifo_counts == old.hot_keys.topk.fifo_counts
+    assert (
+        new.hot_keys.topk.counters == old.hot_keys.topk.counters
+        and new.hot_keys.topk.fifo_counts == old.hot_keys.topk.fifo_counts
+    )
     assert new.fleet.order("0a")[0].id == old.fleet.order("0a")[0].id
     out = {n.id: n.failures for n in old.fleet.nodes.values() if n.failures}
     assert out and {n.id: n.failures for n in new.fleet.nodes.values() if n.failures} == out
@@ -169,7 +174,9 @@
         half.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
         await until(lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients))
         new = await successor(rig, folder, listener)
-        assert len(new.listed_nodes) == 2 and new.discovery.revision == 41, "the list came from the old process"
+        assert (
+            len(new.listed_nodes) == 2 and new.discovery.revision == 41
+        ), "the list came from the old process"
         ended = stopped(rig.host)
         rig.host.stop()
         await until(lambda: len(new.frontend.clients) == 1)  # the idle one
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -12,11 +12,21 @@
 
 import pytest
 
-from notchflow.interface import Effect, Fail, Limits, Outcome, Refuse, RequestClass, SettingsChanged, Send, Status
+from notchflow.interface import (
+    Effect,
+    Fail,
+    Limits,
+    Outcome,
+    Refuse,
+    RequestClass,
+    Send,
+    SettingsChanged,
+    Status,
+)
 from notchflow.net.config import ConfigError, load, reload
 from notchflow.net.process import on_hangup
 from notchflow.operations.key_paths import missing, shape_of
-from tests.helpers import LIMITS, make_request, make_balancer, make_settings, sends
+from tests.helpers import LIMITS, make_balancer, make_request, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, until
 
 CLASS = {"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 500, "Effect": "repeatable"}
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from notchflow.interface import BodyArrived, Outcome, Request, Send, BodyDiscarded, Status, Timer
+from notchflow.interface import BodyArrived, BodyDiscarded, Outcome, Request, Send, Status, Timer
 from notchflow.net import client as downstream
 from notchflow.net import connection
 from notchflow.net.client import STALL_TIMEOUT_MS
@@ -189,7 +189,8 @@
             pushing = asyncio.create_task(push(client, body))
             clients = rig.host.frontend.clients
             await until(
-                lambda: any(c.body_paused_at is not None for c in clients) and any(box.begun for box in rig.boxes)
+                lambda: any(c.body_paused_at is not None for c in clients)
+                and any(box.begun for box in rig.boxes)
             )
             first = next(box for box in rig.boxes if box.begun)
             for box in rig.boxes:
@@ -362,7 +363,9 @@
     for number in range(40):  # learns what is usual
         (sent,) = sends(balancer.handle(number, Request(number, "keyed", 5_000, "k", write=True)))
         balancer.handle(number + 1, Outcome(number, 0, sent.node, Status.OK, 1.0, True))
-    (sent,) = sends(balancer.handle(100, Request(100, "keyed", 90_000, "k", write=True, body_incomplete=True)))
+    (sent,) = sends(
+        balancer.handle(100, Request(100, "keyed", 90_000, "k", write=True, body_incomplete=True))
+    )
     node = balancer.pending[100].outstanding[0][0]
     node.newest = 1e9  # what was sent there later has been served
     late = [a for a in balancer.handle(5_000, Timer("second")) if isinstance(a, Send)]
--- a/tests/test_instance_count.py
+++ b/tests/test_instance_count.py
@@ -7,7 +7,7 @@
 from notchflow.interface import ListKind, Membership, Outcome, SettingsChanged, Status, Timer
 from notchflow.policy.fleet import Fleet
 from notchflow.policy.instance_count import many
-from tests.helpers import make_request, make_balancer, make_fleet, make_settings, sends
+from tests.helpers import make_balancer, make_fleet, make_request, make_settings, sends
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,9 @@
     for _ in range(60):
         balancer.throttle.count(False)
     balancer.handle(1_200.0, Outcome(1, 0, first[0].node, Status.TIMEOUT, 100.0, closed=True))
-    assert not any(sends(balancer.handle(1_300.0, make_request(number, 1_300.0))) for number in range(100, 110))
+    assert not any(
+        sends(balancer.handle(1_300.0, make_request(number, 1_300.0))) for number in range(100, 110)
+    )
     for step in range(1, 25):
         balancer.handle(1_300.0 + 250.0 * step, Timer("sample"))
     later = 7_500.0
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -24,7 +24,7 @@
 from notchflow.policy.hot_keys import COMPARISONS, LOAD_SPREAD, FastTopK, Threshold
 from notchflow.policy.nodes import mixed
 from notchflow.policy.rendezvous import MASK, PLACES
-from tests.helpers import make_request, make_key, make_balancer, make_fleet, make_settings, ok, sends
+from tests.helpers import make_balancer, make_fleet, make_key, make_request, make_settings, ok, sends
 
 
 def feed(topk: FastTopK, rng: random.Random, count: int, hot: dict[str, float]) -> None:
@@ -345,7 +345,9 @@
         at_home += send.node == home
         balancer.handle(now, ok(send, latency=latency if send.node == home else 10.0))
         balancer.handle(now, make_request(1000 + i, now, key=make_key(50 + i)))
-        balancer.handle(now, ok(Send(1000 + i, next(iter(balancer.pending[1000 + i].outstanding.values()))[0].id)))
+        balancer.handle(
+            now, ok(Send(1000 + i, next(iter(balancer.pending[1000 + i].outstanding.values()))[0].id))
+        )
     return at_home / 200
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,7 +33,17 @@
 from notchflow.policy.balancer import Balancer
 from notchflow.policy.health import healthy
 from notchflow.policy.nodes import TOLERANCE
-from tests.helpers import CLASSES, RULES, make_request, make_key, make_balancer, make_fleet, make_settings, ok, sends
+from tests.helpers import (
+    CLASSES,
+    RULES,
+    make_balancer,
+    make_fleet,
+    make_key,
+    make_request,
+    make_settings,
+    ok,
+    sends,
+)
 
 
 class Referee:
@@ -269,12 +279,15 @@
         balancer.handle(900 + 100 * i, Outcome(3 * i, 0, home, Status.TIMEOUT, 900))
     balancer.throttle.asked = 0.0
     read, paid = [
-        sends(balancer.handle(1_400, make_request(20 + i, 1_400, c, k)))[0] for i, c in enumerate(("read", "once"))
+        sends(balancer.handle(1_400, make_request(20 + i, 1_400, c, k)))[0]
+        for i, c in enumerate(("read", "once"))
     ]
     assert read.node != home and paid.node == home
     trial = sends(balancer.handle(2_400, make_request(30, 2_400, key=k)))[0]
     assert trial.node == home and trial.timeout_ms is not None
-    assert sends(balancer.handle(2_401, make_request(31, 2_401, key=k)))[0].node != home, "one trial at a time"
+    assert (
+        sends(balancer.handle(2_401, make_request(31, 2_401, key=k)))[0].node != home
+    ), "one trial at a time"
     balancer.handle(2_410, ok(trial))
     assert sends(balancer.handle(2_420, make_request(32, 2_420, key=k)))[0].node == home
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,12 +20,12 @@
     RENEWAL_RANGE_MS,
     SOON_MS,
     WAIT_MS,
-    WatchAction,
-    StartCall,
-    CancelCall,
-    ReportFailure,
     ApplyList,
+    CancelCall,
     ListWatch,
+    ReportFailure,
+    StartCall,
+    WatchAction,
     WatchError,
 )
 from notchflow.policy.balancer import WATCH_BACKOFF_MS
@@ -106,7 +106,11 @@
     now = watch.wake_at
     watch.wake(now)
     assert watch.wake_at == now + SOON_MS + QUEUE_MS + QUEUE_MARGIN_MS
-    assert watch.wake(watch.wake_at) == [CancelCall(3), ReportFailure("no answer", True), StartCall(4, 41, SOON_MS)]
+    assert watch.wake(watch.wake_at) == [
+        CancelCall(3),
+        ReportFailure("no answer", True),
+        StartCall(4, 41, SOON_MS),
+    ]
     assert watch.pending_calls[0].number == 2, "the old one stays"
 
 
@@ -254,13 +258,17 @@
 
 def test_a_whole_list_without_members_and_changes_to_none_are_refused() -> None:
     watch = begun(True)
-    assert watch.answered(1.0, 1, NodeList(50, True), True) == [ReportFailure("a whole list without members", False)]
+    assert watch.answered(1.0, 1, NodeList(50, True), True) == [
+        ReportFailure("a whole list without members", False)
+    ]
     assert watch.revision == 41
     watch.answered(2.0, watch.set_wanted(2.0, True)[0].number, NodeList(40, False), False)  # type: ignore[union-attr]
     (whole,) = watch.set_wanted(3.0, True)
     assert isinstance(whole, StartCall) and whole.revision is None
     told = watch.answered(4.0, whole.number, changes(60, State.READY), False)
-    assert told == [ReportFailure("changes where the whole list was asked for", False)] and watch.revision == 41
+    assert (
+        told == [ReportFailure("changes where the whole list was asked for", False)] and watch.revision == 41
+    )
 
 
 def test_settings_that_change_how_lists_come_change_the_next_call() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -323,7 +323,8 @@
     assert policy == [
         f"notchflow/policy/{n}.py"
         for n in (
-            "balancer placement hot_keys fleet rendezvous kinds health nodes pending budgets handover instance_count"
+            "balancer placement hot_keys fleet rendezvous kinds health nodes pending budgets handover "
+            "instance_count"
         ).split()
     ]
     drawn: set[str] = set()
