--- a/notchflow/__init__.py
+++ b/notchflow/__init__.py
@@ -1,1 +1,1 @@
-"""notchflow: routing decisions for a balancer in front of a fleet of cache servers."""
+"""notchflow: a load-balancing proxy in front of a fleet of cache nodes."""
--- a/notchflow/interface.py
+++ b/notchflow/interface.py
@@ -1,7 +1,8 @@
-"""The contract of notchflow: settings, the events a balancer is told and the actions it answers with.
+"""The interface of the policy: its settings, the events it receives and the actions it returns.
 
-All times are milliseconds on the caller's clock, all ids are the caller's and carry no meaning. What comes
-with every request is a named tuple: a frozen dataclass takes four times as long to make.
+All times are milliseconds on the clock of the program that drives the policy, which also assigns all ids; ids
+carry no meaning. Types that are created for every request are named tuples, because creating a frozen
+dataclass takes four times as long.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Effect(Enum):
-    """What a repeated execution of a request would do."""
+    """Whether a request may be executed more than once: always, under an idempotency key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -22,7 +23,7 @@
 
 
 class Group(Enum):
-    """The servers that drop a repeat of a keyed request."""
+    """The nodes among which a repeat of a keyed request is recognized and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +31,7 @@
 
 
 class State(Enum):
-    """A server's state as the list of servers tells it."""
+    """A node's state according to discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -38,7 +39,7 @@
 
 
 class ListKind(Enum):
-    """How a membership event relates to what was known before."""
+    """How a membership event relates to the previous list of nodes."""
 
     DELTA = "delta"
     FULL = "full"
@@ -61,10 +62,12 @@
 
     @property
     def never_ran(self) -> bool:
+        """Whether the node certainly did not execute the request."""
         return self in _NEVER_RAN
 
 
-_NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS)  # few: found by identity
+# A tuple, because so few members are found faster by identity than by hash.
+_NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS)
 
 
 def _check(ok: bool, name: str, what: str) -> None:
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: its times, its worth and whether it may be repeated."""
+    """One class of requests: its objective and deadline, its worth, and whether it may be repeated."""
 
     name: str
     aim_ms: float
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the rate that lies within its share, over all balancers."""
+    """A tenant and the rate that lies within its share, summed over all instances."""
 
     name: str
     quota_per_s: float = 0.0
@@ -117,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures behind the four rules."""
+    """Parameters of the rules on deadlines, the list of nodes, draining nodes and cold nodes."""
 
     answer_slack_ms: float = 0.0
     ask_within_ms: float = 10_000.0
@@ -145,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment lets a balancer do."""
+    """What the deployment permits an instance to do."""
 
     max_attempts: int = 1
     second_copies: bool = False
@@ -164,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What the operators take off the result, for the prices a decision here can weigh."""
+    """Deductions from the result, as far as decisions of the policy can weigh them."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -175,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """All settings of one instance."""
 
     classes: tuple[RequestClass, ...]
     zone: str = ""
@@ -200,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One entry of the list of servers."""
+    """One entry of the list of nodes."""
 
     node: int
     state: State = State.READY
@@ -213,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The list of servers, or changes to it, as far as the balancer is told."""
+    """The list of nodes, or changes to it."""
 
     kind: ListKind
     members: tuple[Member, ...] = ()
@@ -221,7 +224,7 @@
 
 
 class Request(NamedTuple):
-    """A client's request: the balancer now owes it one final answer before its deadline."""
+    """A client's request, which must get exactly one final answer before its deadline."""
 
     id: int
     cls: str
@@ -232,15 +235,13 @@
     size: float | None = None
     retry: bool = False
     write: bool = False
-    body_incomplete: bool = (
-        False  # its body is still coming: `BodyArrived` tells the deadline that it has from then on
-    )
-    earlier: float | None = None  # when a request with the same effect may first have run
+    body_incomplete: bool = False  # the body is still being received; `BodyArrived` then sets the deadline
+    may_have_run_since: float | None = None  # time at which a request with the same effect may first have run
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt belongs to the client from here on."""
+    """A streamed answer has begun: the attempt now lasts until the client or the node ends it."""
 
     id: int
     attempt: int
@@ -248,7 +249,7 @@
 
 
 class Outcome(NamedTuple):
-    """How one attempt ended. `closed` means that the request is finished."""
+    """The end of one attempt. `closed` means that the request is finished."""
 
     id: int
     attempt: int
@@ -262,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client left; nothing more is owed."""
+    """The client has disconnected and expects no answer."""
 
     id: int
 
@@ -279,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyArrived:
-    """The body of a request that began before it was whole has come: the client waits until this deadline."""
+    """The body of a request that was forwarded early is complete; `deadline` replaces the earlier one."""
 
     id: int
     deadline: float
@@ -287,28 +288,28 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyDiscarded:
-    """A part of a request's body is not held any more: what is under way may go on, no attempt can begin."""
+    """Part of a request's body is no longer buffered: attempts under way may go on, no new one may start."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings, from now on. A request in hand keeps the class that it was taken with, to its end."""
+    """New settings. Pending requests keep the class with which they were accepted."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer set by this balancer has come due."""
+    """A timer that was set by this instance has fired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another balancer."""
+    """A message from another instance."""
 
     source: int
     data: bytes
@@ -330,18 +331,20 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; without a time-out it runs until the client gives up. From `before` on it must not
-    begin, however long its connection takes."""
+    """Start an attempt. Without `timeout_ms` it runs until the deadline of the request.
+
+    It must be sent before `start_before`, however long connecting takes.
+    """
 
     id: int
     node: int
     timeout_ms: float | None = None
-    before: float = math.inf
+    start_before: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     id: int
     attempt: int
@@ -349,7 +352,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away, trying again is harmless."""
+    """Final answer: rejected; a retry by the client is harmless."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -357,14 +360,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise of what happened."""
+    """Final answer: failed; the request may or may not have been executed."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Timer event at a time."""
+    """Request a `Timer` event at a time."""
 
     at: float
     token: str
@@ -372,14 +375,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check on a server."""
+    """Probe a node."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Ask the list of servers for its changes from now on."""
+    """Watch the list of nodes for changes, or stop watching it."""
 
     on: bool = True
 
--- a/notchflow/policy/__init__.py
+++ b/notchflow/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the proxy, free of I/O and of a clock: which server, whether to retry, what to refuse."""
+"""The decisions of the proxy, without I/O or a clock: which node to use, when to retry, what to shed."""
--- a/notchflow/policy/balancer.py
+++ b/notchflow/policy/balancer.py
@@ -1,7 +1,7 @@
-"""Every decision on a request, from its arrival to its one final answer. Types: notchflow/interface.py.
+"""Decides on every request, from its arrival to its single final answer. Types: notchflow/interface.py.
 
-Pure: a Balancer is told the time and an event and answers with actions. docs/design/decisions.md says what
-is kept of the design and when each departure from it applies.
+Pure: a Balancer receives the time and an event and returns actions. docs/design/decisions.md states which
+parts of the design are kept and when each departure from it applies.
 """
 
 from __future__ import annotations
@@ -36,35 +36,38 @@
 )
 from notchflow.policy.budgets import Budgets
 from notchflow.policy.fleet import Fleet
-from notchflow.policy.handover import take, tell
-from notchflow.policy.health import SECOND_AFTER, SUSPECT_AFTER, TRIAL_SHARE, healthy
+from notchflow.policy.handover import export_state, restore_state
+from notchflow.policy.health import (
+    HEDGE_AFTER_LATENCIES,
+    SUSPECT_AFTER_FAILURES,
+    TRIAL_TIMEOUT_SHARE,
+    is_healthy,
+)
 from notchflow.policy.hot_keys import SAMPLE_MS, HotKeys
-from notchflow.policy.nodes import MISS, OK, READY, SAFE, SILENT, UNSAFE, Node
-from notchflow.policy.pending import Copies, Pending
+from notchflow.policy.nodes import INCONCLUSIVE, MISS, OK, READY, SAFE, UNSAFE, Node
+from notchflow.policy.pending import HedgeSchedule, Pending
 from notchflow.policy.placement import Placement
 
-COMFORT: Final = 0.7  # of a class's aim: an answer in so much of it shows no pressure
-WATCH_EARLY: Final = 0.3
-WATCH_SPACING_MS: Final = 25.0  # between the first calls of all instances, on average
-WATCH_BACKOFF_MS: Final = (
-    250.0,
-    1_000.0,
-)  # twice this and two calls that queue for 2 s: 6 s, when changes count
-BACKOFF_SHARE: Final = 0.4  # of the time to ask within, at most
+IN_TIME_AIM_SHARE: Final = 0.7  # of a class's aim; slower answers count as pressure
+WATCH_DELAY_SHARE: Final = 0.3  # of the time to ask within; the first call is made within this
+WATCH_SPACING_MS: Final = 25.0  # mean interval between the first calls of all instances
+# Two pauses and two calls that queue for 2 s each fit into the 6 s after which changes count as announced.
+WATCH_BACKOFF_MS: Final = (250.0, 1_000.0)
+WATCH_BACKOFF_SHARE: Final = 0.4  # of the time to ask within; upper limit
 
 
 def watch_backoff_ms(rng: random.Random, rules: Rules) -> float:
-    """How long after a call for the list that came to nothing the next is made."""
-    most = BACKOFF_SHARE * rules.ask_within_ms
-    return rng.uniform(*(min(pause, most) for pause in WATCH_BACKOFF_MS))
+    """Returns a random pause before the list of nodes is requested again after a failed call."""
+    pause_max = WATCH_BACKOFF_SHARE * rules.ask_within_ms
+    return rng.uniform(*(min(pause, pause_max) for pause in WATCH_BACKOFF_MS))
 
 
 class Balancer:
-    """Decides what becomes of every request of one balancer."""
+    """The decisions of one proxy instance."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.rng = random.Random(seed)
-        self._take_over(settings)
+        self._apply_settings(settings)
         self.fleet = Fleet(settings, now)
         self.hot_keys = HotKeys(self.rng, now)
         self.budgets = Budgets()
@@ -72,65 +75,71 @@
         self.placement = Placement(self.rng, self.fleet, self.hot_keys, self.throttle)
         self.pending: dict[int, Pending] = {}
         self.arrivals = 0
-        self.rate = 0.0  # own requests, a millisecond
+        self.rate_per_ms = 0.0  # requests received by this instance
         self.sampled_at = now
         self.started = False
         self.actions: list[Action] = []
-        self.hedges = Copies()
+        self.hedges = HedgeSchedule()
 
-    def _take_over(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         self.settings = settings
         self.worth_by_work = settings.worth_by_work
         self.second_copies, self.max_attempts = settings.limits.second_copies, settings.limits.max_attempts
         self.classes = {c.name: c for c in settings.classes}
 
-    def _retune(self, now: float, settings: Settings) -> None:
-        """New settings: what was learned of servers, keys and times stays. Requests in hand keep their class,
-        and no more attempts than were allowed then; where fewer are now, that holds for them too."""
-        self._take_over(settings)
-        self.fleet.state(settings)
+    def _change_settings(self, now: float, settings: Settings) -> None:
+        """Adopts new settings and keeps all learned state.
+
+        Pending requests keep their class. Their maximum number of attempts never rises, but falls to a lower
+        new one.
+        """
+        self._apply_settings(settings)
+        self.fleet.apply_settings(settings)
         for pending in self.pending.values():
             pending.max_attempts = min(pending.max_attempts, self.max_attempts)
-        self.fleet.update(now, Membership(ListKind.DELTA))  # warm-up times may be others
+        self.fleet.update(now, Membership(ListKind.DELTA))  # warm-up times may differ
 
-    # -- what a process that takes this one's place is told
+    # -- state for the process that replaces this one
     def export_state(self, now: float) -> dict[str, Any]:
-        """What need not be learned anew, in plain values; times are counted from now."""
-        return tell(now, self.fleet, self.hot_keys, self.budgets, self.rate)
+        """Returns the learned state in plain values, with times relative to `now`."""
+        return export_state(now, self.fleet, self.hot_keys, self.budgets, self.rate_per_ms)
 
-    def restore_state(self, now: float, told: Mapping[str, Any]) -> None:
-        """Begins with what another process has learned; an error leaves all as it was."""
-        self.rate = take(now, told, self.fleet, self.hot_keys, self.budgets)
+    def restore_state(self, now: float, state: Mapping[str, Any]) -> None:
+        """Restores the state that another process exported; on an error, nothing changes.
+
+        Raises KeyError, TypeError, ValueError or AttributeError for malformed state.
+        """
+        self.rate_per_ms = restore_state(now, state, self.fleet, self.hot_keys, self.budgets)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Answers one event."""
+        """Handles one event and returns the actions to take, in order."""
         self.actions = []
         if isinstance(event, Request):
             self._request(now, event)
         elif isinstance(event, Outcome):
             self._outcome(now, event)
         else:
-            self._other(now, event)
+            self._handle_other(now, event)
         return self.actions
 
     def count_out_of_rotation(self, now: float) -> int:
-        """How many servers of the list get no requests now: they drain, are ejected, or still on trial."""
+        """Counts the listed nodes that get no requests because they drain, are ejected or on trial."""
         return sum(
-            n.member.state is not READY or not healthy(n, now)
+            n.member.state is not READY or not is_healthy(n, now)
             for n in self.fleet.nodes.values()
             if n.member.state is not State.GONE
         )
 
-    def _other(self, now: float, event: Event) -> None:
+    def _handle_other(self, now: float, event: Event) -> None:
         match event:
             case Membership():
                 self._membership(now, event)
             case Timer(token):
                 self._timer(now, token)
             case ClientGone(request):
-                self._close(request)
+                self._drop(request)
             case SettingsChanged(settings):
-                self._retune(now, settings)
+                self._change_settings(now, settings)
             case BodyArrived(request, deadline):
                 if request in self.pending:
                     self.pending[request].deadline, self.pending[request].body_incomplete = deadline, False
@@ -142,18 +151,19 @@
                     self.pending[request].streaming = True
                     self._cancel(self.pending[request], attempt)
 
-    # -- the list of servers
+    # -- membership
     def _membership(self, now: float, event: Membership) -> None:
         self.fleet.update(now, event)
         if not self.started:
             self.started = True
             self.actions.append(SetTimer(now + SAMPLE_MS, "sample"))
-            if self.settings.list_on_request:  # jitter: the list cannot answer every instance at once
-                early = min(
-                    WATCH_EARLY * self.settings.rules.ask_within_ms,
+            if self.settings.list_on_request:
+                # Jitter: discovery cannot answer all instances at once.
+                delay_max = min(
+                    WATCH_DELAY_SHARE * self.settings.rules.ask_within_ms,
                     WATCH_SPACING_MS * self.settings.balancers,
                 )
-                self.actions.append(SetTimer(now + self.rng.random() * early, "watch"))
+                self.actions.append(SetTimer(now + self.rng.random() * delay_max, "watch"))
         elif event.kind is ListKind.FAILED and self.settings.list_on_request:
             self.actions.append(SetTimer(now + watch_backoff_ms(self.rng, self.settings.rules), "watch"))
 
@@ -161,23 +171,25 @@
         if token == "watch":
             self.actions.append(Watch())
         elif token == "second":
-            self._seconds(now)
+            self._send_due_hedges(now)
         elif token == "sample":
             self.actions.append(SetTimer(now + SAMPLE_MS, "sample"))
             self._sample(now)
 
-    # -- the mechanism
+    # -- requests and attempts
     def _sample(self, now: float) -> None:
         span = max(now - self.sampled_at, 1.0)
-        self.rate += 0.1 * (self.arrivals / span - self.rate) if self.rate else self.arrivals / span
+        self.rate_per_ms += (
+            0.1 * (self.arrivals / span - self.rate_per_ms) if self.rate_per_ms else self.arrivals / span
+        )
         self.arrivals, self.sampled_at = 0, now
         self.fleet.tick(now)
-        self.throttle.fade()
-        self.hot_keys.sample(now, self.rate, self.fleet)
+        self.throttle.decay()
+        self.hot_keys.sample(now, self.rate_per_ms, self.fleet)
 
     def _request(self, now: float, request: Request) -> None:
         cls = self.classes.get(request.cls)
-        if cls is None:  # no work comes of it: it says nothing of load, nor of what is asked for
+        if cls is None:  # causes no work, so it must not count towards the load or the rates of keys
             self.actions.append(Refuse(request.id))
             return
         number, key = request.id, request.key
@@ -192,32 +204,35 @@
             self.throttle.count(False)
             self._finish(pending)
             return
-        self.budgets.earn()
-        aside = self.fleet.cache_aside and request.write
-        node = self.fleet.origin if aside else self.placement.pick(now, pending, self.rate)
+        self.budgets.earn_retry()
+        to_origin = self.fleet.cache_aside and request.write
+        node = self.fleet.origin if to_origin else self.placement.pick(now, pending, self.rate_per_ms)
         self._send(now, pending, node)
-        usual = self.fleet.class_latency_ms.get(cls.name)
+        mean_latency_ms = self.fleet.class_latency_ms.get(cls.name)
         if (
             self.second_copies
             and pending.outstanding
-            and usual
-            and SECOND_AFTER * usual < cls.aim_ms
+            and mean_latency_ms
+            and HEDGE_AFTER_LATENCIES * mean_latency_ms < cls.aim_ms
             and cls.effect is not UNSAFE
         ):
-            due = now + SECOND_AFTER * usual
-            if self.hedges.add(now, due, number):
-                self.actions.append(SetTimer(due, "second"))
-
-    def _seconds(self, now: float) -> None:
-        """Second copies for what has waited so long; then a timer for the first that is still in hand."""
-        for number in self.hedges.come(now, self.pending):
-            self._second(now, number)
-        due = self.hedges.next(now)
-        if due is not None:
-            self.actions.append(SetTimer(due, "second"))
-
-    def _second(self, now: float, request_id: int) -> None:
-        """A second copy where what was sent half the wait later is served: a queue would delay both."""
+            due_at = now + HEDGE_AFTER_LATENCIES * mean_latency_ms
+            if self.hedges.add(now, due_at, number):
+                self.actions.append(SetTimer(due_at, "second"))
+
+    def _send_due_hedges(self, now: float) -> None:
+        """Hedges the requests that are due and sets a timer for the next one."""
+        for number in self.hedges.pop_due(now, self.pending):
+            self._hedge(now, number)
+        due_at = self.hedges.next_timer(now)
+        if due_at is not None:
+            self.actions.append(SetTimer(due_at, "second"))
+
+    def _hedge(self, now: float, request_id: int) -> None:
+        """Sends a hedge if the node has answered an attempt sent in the second half of the wait.
+
+        Otherwise the node may merely have a queue, which would delay both attempts.
+        """
         pending = self.pending.get(request_id)
         if (
             pending is None
@@ -225,56 +240,56 @@
             or pending.streaming
             or pending.body_incomplete
             or len(pending.outstanding) != 1
-            or self.budgets.retries < 1
+            or self.budgets.retry_tokens < 1
         ):
             return
         ((first, sent_at),) = pending.outstanding.values()
-        more = pending.attempts < pending.max_attempts and self.throttle.pressure() <= 0
-        served = first.newest > (sent_at + now) / 2
-        node = self.placement.pick(now, pending, self.rate) if more and served else None
+        allowed = pending.attempts < pending.max_attempts and self.throttle.pressure() <= 0
+        overtaken = first.newest > (sent_at + now) / 2
+        node = self.placement.pick(now, pending, self.rate_per_ms) if allowed and overtaken else None
         if node is not None:
-            self.budgets.retries -= 1
+            self.budgets.retry_tokens -= 1
             self._send(now, pending, node)
 
     def _send(self, now: float, pending: Pending, node: Node | None) -> None:
-        left, attempts = pending.deadline - now, pending.attempts
+        remaining_ms, attempts = pending.deadline - now, pending.attempts
         if (
             node is None
-            or left <= 0
+            or remaining_ms <= 0
             or attempts >= pending.max_attempts
             or node.member.state is not READY
-            or now >= pending.until
-            or (attempts and not pending.may_go(node, now))
+            or now >= pending.repeat_until
+            or (attempts and not pending.may_repeat_on(node, now))
         ):
             self._finish(pending)
             return
-        timeout = None
-        if node.failures or node.mutes:
-            mute = node.mutes.get(pending.cls.name)
-            doubtful = node.failures > 0 or (mute is not None and mute.failures >= SUSPECT_AFTER)
+        timeout_ms = None
+        if node.failures or node.class_health:
+            health = node.class_health.get(pending.cls.name)
+            suspect = node.failures > 0 or (health is not None and health.failures >= SUSPECT_AFTER_FAILURES)
             if (
-                doubtful
+                suspect
                 and attempts + 1 < pending.max_attempts
                 and pending.cls.effect is SAFE
                 and not pending.body_incomplete
             ):
-                timeout = left * TRIAL_SHARE
-        before = pending.before()
+                timeout_ms = remaining_ms * TRIAL_TIMEOUT_SHARE
+        start_before = pending.start_before()
         pending.outstanding[attempts] = node, now
         pending.attempts = attempts + 1
         pending.tried = *pending.tried, node
-        self.fleet.sent(node, now, pending.cls.name, (pending.request.id, attempts))
-        self.actions.append(Send(pending.request.id, node.id, timeout, before))
+        self.fleet.attempt_sent(node, now, pending.cls.name, (pending.request.id, attempts))
+        self.actions.append(Send(pending.request.id, node.id, timeout_ms, start_before))
 
     def _outcome(self, now: float, outcome: Outcome) -> None:
         pending = self.pending.get(outcome.id)
         if pending is None or outcome.attempt not in pending.outstanding:
             return
         node, status = pending.outstanding[outcome.attempt][0], outcome.status
-        self.fleet.ended(now, node, outcome, pending.cls)
-        pending.ended(outcome.attempt, status)
-        if status not in SILENT:
-            in_time = status is OK and outcome.latency_ms <= COMFORT * pending.cls.aim_ms
+        self.fleet.attempt_ended(now, node, outcome, pending.cls)
+        pending.attempt_ended(outcome.attempt, status)
+        if status not in INCONCLUSIVE:
+            in_time = status is OK and outcome.latency_ms <= IN_TIME_AIM_SHARE * pending.cls.aim_ms
             node.throttle.count(in_time)
             self.throttle.count(in_time)
         if status is OK or outcome.closed:
@@ -282,24 +297,26 @@
             if pending.outstanding:
                 self._cancel(pending)
         elif not pending.done and not pending.outstanding and not pending.streaming:
-            self._further(now, pending, status)
+            self._retry(now, pending, status)
         if pending.done and not pending.outstanding:
             self.pending.pop(outcome.id, None)
 
-    def _further(self, now: float, pending: Pending, status: Status) -> None:
-        """A failed attempt: one more where it can still help and the budget has room, else the answer."""
+    def _retry(self, now: float, pending: Pending, status: Status) -> None:
+        """Retries after a failed attempt if that can help and the budget permits, else answers the client."""
         if status is MISS:
             self._send(now, pending, self.fleet.origin)
             return
-        # What never ran has cost no work: only the most attempts allowed bound it, so that one full or dead
-        # server does not have its requests refused while others have room.
+        # An attempt that never ran has cost no work and is limited by the maximum number of attempts only.
+        # Otherwise requests to one full or dead node would be rejected while other nodes have capacity.
         write, ran = pending.request.write, not status.never_ran
-        spent = ran and (self.budgets.retries < 1 or (self.throttle.pressure() > 0 and not write))
-        if spent or pending.deadline - now <= self.settings.tick_ms:
+        exhausted = ran and (self.budgets.retry_tokens < 1 or (self.throttle.pressure() > 0 and not write))
+        if exhausted or pending.deadline - now <= self.settings.tick_ms:
             self._finish(pending)
             return
-        self.budgets.retries -= ran
-        node = None if self.fleet.cache_aside and write else self.placement.pick(now, pending, self.rate)
+        self.budgets.retry_tokens -= ran
+        node = (
+            None if self.fleet.cache_aside and write else self.placement.pick(now, pending, self.rate_per_ms)
+        )
         self._send(now, pending, node)
 
     def _finish(self, pending: Pending) -> None:
@@ -309,7 +326,7 @@
         if not pending.outstanding:
             self.pending.pop(pending.request.id, None)
 
-    def _close(self, request_id: int) -> None:
+    def _drop(self, request_id: int) -> None:
         pending = self.pending.get(request_id)
         if pending is not None:
             pending.done = True
@@ -317,6 +334,8 @@
             if not pending.outstanding:
                 del self.pending[request_id]
 
-    def _cancel(self, pending: Pending, but: int = -1) -> None:
+    def _cancel(self, pending: Pending, except_attempt: int = -1) -> None:
         if self.settings.limits.cancel:
-            self.actions.extend(Cancel(pending.request.id, a) for a in pending.outstanding if a != but)
+            self.actions.extend(
+                Cancel(pending.request.id, a) for a in pending.outstanding if a != except_attempt
+            )
--- a/notchflow/policy/budgets.py
+++ b/notchflow/policy/budgets.py
@@ -1,4 +1,4 @@
-"""What is refused so that the rest is answered in time, and how many further attempts there may be."""
+"""Load shedding and the retry budget."""
 
 from __future__ import annotations
 
@@ -8,27 +8,33 @@
 from notchflow.interface import RequestClass
 from notchflow.policy.nodes import Throttle
 
-SMOOTH: Final = 0.05  # weight of one request in the mean cost
-RETRY_SHARE: Final = 0.1  # further attempts that may have cost work, a request
-RETRY_SAVED: Final = 5.0
+COST_GAIN: Final = 0.05  # weight of one request in the moving mean of the cost
+RETRY_TOKENS_PER_REQUEST: Final = 0.1  # retries of attempts that may have run, per request
+RETRY_TOKENS_MAX: Final = 5.0  # tokens that can be saved up
 
 
 class Budgets:
-    """The pressure on this balancer, what a usual request costs for its worth, and saved further attempts."""
+    """The throttle of this instance, the mean cost of a request for its worth, and the retry tokens."""
 
     def __init__(self) -> None:
         self.throttle = Throttle()
-        self.mean_cost = 0.0  # work for worth of a usual request
-        self.retries = RETRY_SAVED
+        self.mean_cost = 0.0  # work per worth
+        self.retry_tokens = RETRY_TOKENS_MAX
 
     def shed(self, cls: RequestClass, work: float, draw: float) -> bool:
-        """Whether a request is refused at once: the least worth for their work first."""
+        """Whether to reject a request at once. Requests with the least worth for their work are shed first.
+
+        `draw` is a uniform random number in [0, 1).
+        """
         cost = max(work, 0.1) / max(cls.worth, 1e-3)
-        self.mean_cost += SMOOTH * (cost - self.mean_cost) if self.mean_cost else cost
+        self.mean_cost += COST_GAIN * (cost - self.mean_cost) if self.mean_cost else cost
         pressure = self.throttle.pressure()
-        # as a power, all classes together shed no more than the pressure, yet all of it if need be
+        # As a power, all classes together shed no more than the pressure, and everything at a pressure of 1.
         return pressure > 0 and draw >= math.pow(1 - pressure, cost / self.mean_cost)
 
-    def earn(self) -> None:
-        """A request that is sent on earns a part of a further attempt; shed ones must earn none in a jam."""
-        self.retries = min(self.retries + RETRY_SHARE, RETRY_SAVED)
+    def earn_retry(self) -> None:
+        """Adds a part of a retry token for a request that is sent on.
+
+        Shed requests must earn none: during overload they would pay for retries, which add load.
+        """
+        self.retry_tokens = min(self.retry_tokens + RETRY_TOKENS_PER_REQUEST, RETRY_TOKENS_MAX)
--- a/notchflow/policy/handover.py
+++ b/notchflow/policy/handover.py
@@ -1,4 +1,4 @@
-"""What a process that takes this one's place is told: what need not be learned anew, in plain values."""
+"""The learned state that a process exports to the one that replaces it, in plain values."""
 
 from __future__ import annotations
 
@@ -7,41 +7,52 @@
 
 from notchflow.policy.budgets import Budgets
 from notchflow.policy.fleet import Fleet
-from notchflow.policy.health import EJECT_MAX_MS
+from notchflow.policy.health import MAX_EJECTION_MS
 from notchflow.policy.hot_keys import HotKeys
-from notchflow.policy.kinds import numbers
+from notchflow.policy.kinds import finite_numbers
 
 
-def tell(now: float, fleet: Fleet, hot: HotKeys, budgets: Budgets, rate: float) -> dict[str, Any]:
-    """Times are counted from now, `rate` is own requests a millisecond."""
+def export_state(
+    now: float, fleet: Fleet, hot_keys: HotKeys, budgets: Budgets, rate: float
+) -> dict[str, Any]:
+    """Returns the learned state. Times are relative to `now`; `rate` is in requests per millisecond."""
     return {
-        **fleet.kinds.told(),
-        **hot.told(),
+        **fleet.kinds.export_state(),
+        **hot_keys.export_state(),
         "classes": fleet.class_latency_ms,
         "cost": budgets.mean_cost,
-        "rate": rate / 2,  # both serve for a while, and the two count cold servers' budgets apart
+        "rate": rate / 2,  # both processes serve for a while, each with its own budget per cold node
         "health": {
-            str(n.id): [n.failures, max(n.ejected_until - now, 0.0), n.pause, n.trial]
+            str(n.id): [n.failures, max(n.ejected_until - now, 0.0), n.ejection_ms, n.on_trial]
             for n in fleet.nodes.values()
             if n.failures
         },
     }
 
 
-def take(now: float, told: Mapping[str, Any], fleet: Fleet, hot: HotKeys, budgets: Budgets) -> float:
-    """Begins with what another process has learned and gives the rate; an error leaves all as it was."""
-    classes, rate, cost = numbers(told["classes"]), float(told["rate"]), float(told["cost"])
+def restore_state(
+    now: float, state: Mapping[str, Any], fleet: Fleet, hot_keys: HotKeys, budgets: Budgets
+) -> float:
+    """Restores the state that another process exported and returns its rate. On an error, nothing changes.
+
+    Raises KeyError, TypeError, ValueError or AttributeError for malformed state.
+    """
+    classes, rate, cost = finite_numbers(state["classes"]), float(state["rate"]), float(state["cost"])
     health = [
-        (fleet.nodes.get(int(node)), int(fails), float(out), float(pause), bool(trial))
-        for node, (fails, out, pause, trial) in told["health"].items()
+        (fleet.nodes.get(int(node)), int(failures), float(ejected_ms), float(ejection_ms), bool(on_trial))
+        for node, (failures, ejected_ms, ejection_ms, on_trial) in state["health"].items()
     ]
     kinds = type(fleet.kinds)()
-    kinds.take(told)
-    hot.take(now, told, rate)
+    kinds.restore_state(state)
+    hot_keys.restore_state(now, state, rate)
     fleet.kinds, fleet.class_latency_ms, budgets.mean_cost = kinds, classes, cost
-    for node, fails, out, pause, trial in health:
+    for node, failures, ejected_ms, ejection_ms, on_trial in health:
         if node is not None:
-            node.failures, node.pause, node.trial = fails, min(pause, EJECT_MAX_MS), trial
-            node.ejected_until = now + min(out, EJECT_MAX_MS)
-    fleet.reweigh(now)
+            node.failures, node.ejection_ms, node.on_trial = (
+                failures,
+                min(ejection_ms, MAX_EJECTION_MS),
+                on_trial,
+            )
+            node.ejected_until = now + min(ejected_ms, MAX_EJECTION_MS)
+    fleet.recompute_weights(now)
     return rate
--- a/notchflow/policy/health.py
+++ b/notchflow/policy/health.py
@@ -1,4 +1,4 @@
-"""Which servers are well: no sign of life ejects one; a class that one fails leaves it alone."""
+"""Outlier ejection: of nodes that stop responding, and of single request classes that a node fails."""
 
 from __future__ import annotations
 
@@ -6,62 +6,75 @@
 from typing import Final
 
 from notchflow.interface import Outcome, RequestClass
-from notchflow.policy.nodes import CANCELLED, ERROR, MISS, OK, RESET, TIMEOUT, Mute, Node
+from notchflow.policy.nodes import CANCELLED, ERROR, MISS, OK, RESET, TIMEOUT, ClassHealth, Node
 
-SUSPECT_AFTER: Final = 2
-EJECT_MAX_MS: Final = 8_000.0
-TRIAL_SHARE: Final = 0.4  # of the time left for an attempt at a server under suspicion
-QUIET_SHARE: Final = 0.34  # of the fleet that time-outs alone may eject: more is trouble elsewhere
-MUTE_AFTER: Final = 5  # more failures than answers of one class at a server that serves the others
-MUTE_SHARE: Final = 0.6  # of the fleet that may be mute for a class: more is trouble behind the fleet
-SECOND_AFTER: Final = 3.0  # usual latencies without an answer: a second copy may go out
+SUSPECT_AFTER_FAILURES: Final = 2  # consecutive
+MAX_EJECTION_MS: Final = 8_000.0
+TRIAL_TIMEOUT_SHARE: Final = 0.4  # of the remaining time, for an attempt on a suspect node
+TIMEOUT_EJECTED_SHARE: Final = 0.34  # of the fleet that timeouts may eject; above, the cause lies elsewhere
+CLASS_EJECT_AFTER: Final = 5  # failures of one class in excess of its answers, on a node that serves others
+CLASS_EJECTED_SHARE: Final = 0.6  # of the fleet that may eject a class; above, the cause lies behind it
+HEDGE_AFTER_LATENCIES: Final = 3.0  # mean latencies without an answer after which a hedge may be sent
 
 
-def healthy(node: Node, now: float, cls: str = "") -> bool:
-    """Not ejected, not mute for this class, and no trial of one that was is out."""
-    if node.ejected_until > now or (node.trial and node.in_flight > 0):
+def is_healthy(node: Node, now: float, cls: str = "") -> bool:
+    """Whether the node may get a request of the class: neither the node nor the class is ejected from it, and
+    no trial after an ejection is outstanding."""
+    if node.ejected_until > now or (node.on_trial and node.in_flight > 0):
         return False
-    return cls not in node.mutes or not node.mutes[cls].bars(now)
+    return cls not in node.class_health or not node.class_health[cls].blocks(now)
 
 
-def listen(
-    now: float, node: Node, outcome: Outcome, of: RequestClass, usual: float, ready: Sequence[Node]
+def record_class_outcome(
+    now: float,
+    node: Node,
+    outcome: Outcome,
+    request_class: RequestClass,
+    mean_latency_ms: float,
+    ready: Sequence[Node],
 ) -> None:
-    """A server may hang or err on one class alone, or on most of it; the answers it gives to others, and
-    the few to this one, must not hide that. In a queue nothing sent half the wait later is served. `usual`:
-    what an answer of this class takes, infinite where none is known."""
-    cls, status, took = of.name, outcome.status, outcome.latency_ms
-    mute = node.mutes.get(cls)
-    if mute is not None:
-        mute.out = max(0, mute.out - 1)
+    """Counts failures per class and ejects the class from the node after too many of them.
+
+    A node may hang or fail on one class only, or on most requests of it; its answers to other classes, and
+    the few to this one, must not hide that. An attempt that timed out or was cancelled counts only if the
+    node has answered one sent in the second half of its wait, since a node that merely has a queue would not
+    have. `mean_latency_ms` is that of the class, infinite if unknown.
+    """
+    cls, status, elapsed_ms = request_class.name, outcome.status, outcome.latency_ms
+    health = node.class_health.get(cls)
+    if health is not None:
+        health.outstanding = max(0, health.outstanding - 1)
         if status in (OK, MISS):
-            mute.failures, mute.until = mute.failures - 1, 0.0
-            if mute.failures <= 0:
-                del node.mutes[cls]
+            health.failures, health.ejected_until = health.failures - 1, 0.0
+            if health.failures <= 0:
+                del node.class_health[cls]
     if status in (TIMEOUT, CANCELLED):
-        trial = mute is not None and mute.until > 0
-        long = took > min(SECOND_AFTER * usual, of.aim_ms)
-        if node.newest <= now - took / 2 or not (long or trial):
-            return  # a queue, or too little time to tell
+        on_trial = health is not None and health.ejected_until > 0
+        overdue = elapsed_ms > min(HEDGE_AFTER_LATENCIES * mean_latency_ms, request_class.aim_ms)
+        if node.newest <= now - elapsed_ms / 2 or not (overdue or on_trial):
+            return  # the node is queueing, or the wait was too short to tell
     elif status not in (ERROR, RESET):
         return
-    mute = node.mutes.setdefault(cls, Mute())
-    mute.failures = min(mute.failures + 1, MUTE_AFTER)
-    if mute.failures < MUTE_AFTER or mute.until > now:
+    health = node.class_health.setdefault(cls, ClassHealth())
+    health.failures = min(health.failures + 1, CLASS_EJECT_AFTER)
+    if health.failures < CLASS_EJECT_AFTER or health.ejected_until > now:
         return
-    silent = sum(1 for n in ready if cls in n.mutes and n.mutes[cls].until > now)
-    if silent < MUTE_SHARE * len(ready):
-        mute.until = now + mute.pause
-        mute.pause = min(mute.pause * 2, EJECT_MAX_MS)
+    ejected = sum(1 for n in ready if cls in n.class_health and n.class_health[cls].ejected_until > now)
+    if ejected < CLASS_EJECTED_SHARE * len(ready):
+        health.ejected_until = now + health.ejection_ms
+        health.ejection_ms = min(health.ejection_ms * 2, MAX_EJECTION_MS)
+
 
+def record_no_response(now: float, node: Node, refused: bool, ready: Sequence[Node]) -> None:
+    """Counts an attempt without any response and ejects the node after too many of them.
 
-def failed(now: float, node: Node, refused: bool, ready: Sequence[Node]) -> None:
-    """No sign of life. Servers that are merely slow look like this too, then many at once do: time-outs
-    alone eject only a part of the fleet; a connection that cannot be opened is proof enough."""
+    Slow nodes time out too, but then many do at once; timeouts therefore eject only a part of the fleet. A
+    refused connection is sufficient proof by itself.
+    """
     node.failures += 1
-    if node.failures < SUSPECT_AFTER or node.ejected_until > now:
+    if node.failures < SUSPECT_AFTER_FAILURES or node.ejected_until > now:
         return
-    if refused or sum(n.ejected_until > now for n in ready) < QUIET_SHARE * len(ready):
-        node.ejected_until = now + node.pause
-        node.pause = min(node.pause * 2, EJECT_MAX_MS)
-        node.trial = True
+    if refused or sum(n.ejected_until > now for n in ready) < TIMEOUT_EJECTED_SHARE * len(ready):
+        node.ejected_until = now + node.ejection_ms
+        node.ejection_ms = min(node.ejection_ms * 2, MAX_EJECTION_MS)
+        node.on_trial = True
--- a/notchflow/policy/hot_keys.py
+++ b/notchflow/policy/hot_keys.py
@@ -1,4 +1,4 @@
-"""Hot keys: coincidences among recent requests, the load threshold, and how far each key is spread."""
+"""Hot keys: their detection, the load threshold, and the number of nodes that serve each of them."""
 
 from __future__ import annotations
 
@@ -9,212 +9,228 @@
 from typing import Any, Final
 
 from notchflow.policy.fleet import Fleet
-from notchflow.policy.kinds import numbers
-
-TOP_K: Final = 16  # keys in either list; popularity is steep, beyond these a key is no burden to one server
-COMPARISONS: Final = 32
-FIFO_MS: Final = 5_000.0  # c spans this much own traffic, so that a surge fills it as fast at a trickle ...
-FIFO_MIN, FIFO_MAX = 32, 512  # ... but never fewer entries than m, nor more than an index reaches cheaply
-MIN_MATCHES: Final = 6  # chance alone gives a key asked for three times about one
-AGE_MS: Final = 5_000.0  # counters and N halve this often: popularity moves on
-PRIOR_REQUESTS: Final = 50.0  # a key that enters the historical list keeps its old rate for about so many
+from notchflow.policy.kinds import finite_numbers
+
+TOP_K: Final = 16  # keys in either list; popularity is steep, so less popular keys do not overload a node
+COMPARISONS: Final = 32  # entries that each request is compared with; m in the paper
+# The FIFO (c in the paper) covers this much of the instance's traffic, so that it reacts to a surge equally
+# fast at any rate, within limits: no fewer entries than COMPARISONS, and no more than can be indexed cheaply.
+FIFO_SPAN_MS: Final = 5_000.0
+FIFO_MIN, FIFO_MAX = 32, 512
+MIN_MATCHES: Final = 6  # a key requested three times gets about one match by chance
+HALF_LIFE_MS: Final = 5_000.0  # interval at which all counts are halved, since popularity changes
+PRIOR_REQUESTS: Final = 50.0  # weight, in requests, of the rate with which a key entered the historical list
 # --- threshold and spread
-SAMPLE_MS: Final = 250.0  # own load is sampled this often
-HISTORY: Final = 240  # samples kept: a minute
-HISTORY_MIN: Final = 20  # no threshold before so many samples
-PERCENTILE: Final = 0.8  # base load: own load exceeds it a fifth of the time
-ENTER, LEAVE = 1.5, 1.1  # factoring starts above ENTER times the base load and ends below LEAVE times
-LOAD_FLOOR: Final = 3.0  # attempts in hand below which load is chance, whatever the history
-SWAMP: Final = 0.8
-LOAD_SPREAD: Final = 2  # servers for every hot key while own load is high
-WIDEN_MS: Final = 500.0  # a spread grows one step, half as much again, this often
-TOLD: Final = ("fifo", "counters", "historical", "prior", "compared", "seen")  # of the top-k
+SAMPLE_MS: Final = 250.0  # interval between samples of the instance's load
+HISTORY_SAMPLES: Final = 240  # one minute
+HISTORY_SAMPLES_MIN: Final = 20  # samples needed before the threshold applies
+BASE_LOAD_PERCENTILE: Final = 0.8  # the base load is exceeded a fifth of the time
+ENTER_FACTOR, LEAVE_FACTOR = 1.5, 1.1  # multiples of the base load at which factoring starts and ends
+LOAD_FLOOR: Final = 3.0  # requests in flight; a lower load is not significant, whatever the history
+KEY_SHARE_MAX: Final = 0.8  # of the due traffic of its nodes that a single key may use
+HIGH_LOAD_SPREAD: Final = 2  # nodes for every hot key while the instance's load is high
+SPREAD_STEP_MS: Final = 500.0  # interval at which a spread grows by half or shrinks by one
+# The attributes of FastTopK that are exported, under these names.
+EXPORTED_FIELDS: Final = ("fifo", "counters", "historical", "prior", "compared", "seen")
 
 
 class FastTopK:
-    """Finds the top-k keys by coincidences among recent requests (section III.C of the paper)."""
+    """Finds the top-k keys by comparing requests with samples of recent ones (section III.C of the paper)."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.capacity = FIFO_MIN
         self.fifo: list[str] = []
-        self.fifo_counts: dict[str, int] = {}  # how often each key stands in the FIFO
+        self.fifo_counts: dict[str, int] = {}  # occurrences of each key in the FIFO
         self.counters: dict[str, float] = {}
         self.historical: dict[str, float] = {}
         self.prior: dict[str, float] = {}  # rate with which a key entered the historical list
         self.compared = 0.0
         self.seen = 0.0
 
-    def fit(self, rate: float) -> None:
-        """The FIFO spans as much time at any rate (requests a millisecond)."""
-        self.capacity = int(min(max(rate * FIFO_MS, FIFO_MIN), FIFO_MAX))
+    def resize(self, rate: float) -> None:
+        """Sets the FIFO's capacity to cover the same time at any rate (requests per millisecond)."""
+        self.capacity = int(min(max(rate * FIFO_SPAN_MS, FIFO_MIN), FIFO_MAX))
 
     def observe(self, key: str) -> None:
+        """Counts a request for a key."""
         self.seen += 1
         if key in self.historical:
             self.historical[key] += 1
             return
-        fifo, held = self.fifo, self.fifo_counts
-        entries, here = len(fifo), held.get(key, 0)
+        fifo, counts = self.fifo, self.fifo_counts
+        entries, occurrences = len(fifo), counts.get(key, 0)
         if entries:
             draws = entries if entries < COMPARISONS else COMPARISONS
             self.compared += draws
-            if here:
-                matches = self._matches(draws, here / entries)
+            if occurrences:
+                matches = self._draw_matches(draws, occurrences / entries)
                 if matches:
                     self.counters[key] = self.counters.get(key, 0.0) + matches
         fifo.append(key)
-        held[key] = here + 1
+        counts[key] = occurrences + 1
         if entries >= self.capacity:
-            self._forget(entries + 1 - self.capacity)
+            self._evict(entries + 1 - self.capacity)
 
-    def _matches(self, draws: int, share: float) -> int:
-        """How many of so many entries drawn at random, with replacement, are a key that has this share of
-        them: binomial, found by inversion from one number of the generator instead of one a draw."""
+    def _draw_matches(self, draws: int, share: float) -> int:
+        """Returns how many of the entries drawn with replacement match a key that has this share of them.
+
+        The count is binomial and is drawn by inversion, which takes one random number instead of one per
+        draw.
+        """
         if share >= 1:
             return draws
-        left, odds = self.rng.random(), share / (1 - share)
-        likely, matches = (1 - share) ** draws, 0
-        while left >= likely and matches < draws:
-            left -= likely
-            likely *= odds * (draws - matches) / (matches + 1)
+        remaining, odds = self.rng.random(), share / (1 - share)
+        probability, matches = (1 - share) ** draws, 0
+        while remaining >= probability and matches < draws:
+            remaining -= probability
+            probability *= odds * (draws - matches) / (matches + 1)
             matches += 1
         return matches
 
-    def _forget(self, count: int) -> None:
-        held = self.fifo_counts
+    def _evict(self, count: int) -> None:
+        counts = self.fifo_counts
         for key in self.fifo[:count]:
-            if held[key] == 1:
-                del held[key]
+            if counts[key] == 1:
+                del counts[key]
             else:
-                held[key] -= 1
+                counts[key] -= 1
         del self.fifo[:count]
 
-    def hot(self) -> dict[str, float]:
-        """The top k of both lists with their estimated rates, as shares of the traffic."""
-        rates = [(math.sqrt(count / self.compared), key) for key, count in self._top()]
-        rates += [(self._known_rate(key), key) for key in self.historical]
+    def top_rates(self) -> dict[str, float]:
+        """Returns the top k of both lists with their estimated rates, as shares of the traffic."""
+        rates = [(math.sqrt(count / self.compared), key) for key, count in self._top_counters()]
+        rates += [(self._historical_rate(key), key) for key in self.historical]
         return {key: rate for rate, key in sorted(rates, reverse=True)[:TOP_K]}
 
     def share(self, key: str) -> float:
-        """The part of lately seen requests that asked for a key, the present one left out."""
+        """Returns the share of recent requests for a key, the current request excluded."""
         if key in self.historical:
-            return self._known_rate(key)
+            return self._historical_rate(key)
         return (self.fifo_counts.get(key, 1) - 1) / max(len(self.fifo), 1)
 
-    def _known_rate(self, key: str) -> float:
+    def _historical_rate(self, key: str) -> float:
         return (self.historical[key] + PRIOR_REQUESTS * self.prior[key]) / (self.seen + PRIOR_REQUESTS)
 
-    def _top(self) -> list[tuple[str, float]]:
+    def _top_counters(self) -> list[tuple[str, float]]:
         known = [(k, n) for k, n in self.counters.items() if n >= MIN_MATCHES]
         return sorted(known, key=lambda item: (-item[1], item[0]))[:TOP_K]
 
-    def switch(self) -> None:
-        hot = self.hot()
-        self.prior = hot
-        self.historical = dict.fromkeys(hot, 0.0)
+    def enter_factoring(self) -> None:
+        """Moves the current hot keys to the historical list and counts others from zero."""
+        rates = self.top_rates()
+        self.prior = rates
+        self.historical = dict.fromkeys(rates, 0.0)
         self.counters = {}
         self.compared = self.seen = 0.0
 
-    def normal(self) -> None:
-        """Normal mode again: the historical list is empty, its keys are counted like the others."""
+    def leave_factoring(self) -> None:
+        """Returns to normal mode: clears the historical list, whose keys are then counted like all others."""
         self.historical, self.prior = {}, {}
 
-    def age(self) -> None:
-        """Halves all counts, so that the rates follow what is asked for now."""
+    def halve(self) -> None:
+        """Halves all counts, so that the rates follow recent requests."""
         self.counters = {k: n / 2 for k, n in self.counters.items() if n >= 1}
         self.historical = {k: n / 2 for k, n in self.historical.items()}
         self.compared /= 2
         self.seen /= 2
 
 
-class Threshold:
-    """Compares own load with its own past and tells which mode it calls for."""
+class LoadThreshold:
+    """Compares the instance's load with its own history."""
 
     def __init__(self) -> None:
-        self.history: deque[float] = deque(maxlen=HISTORY)
+        self.history: deque[float] = deque(maxlen=HISTORY_SAMPLES)
         self.load = 0.0
         self.high = False
 
     def sample(self, in_flight: int) -> bool:
-        """Adds a sample of own load; true while it is above the threshold, with hysteresis."""
+        """Adds a sample of the load; returns whether it is above the threshold, with hysteresis."""
         self.load += 0.5 * (in_flight - self.load)
-        if len(self.history) >= HISTORY_MIN:
-            base = sorted(self.history)[int(PERCENTILE * (len(self.history) - 1))]
-            self.high = self.load > max(base * (LEAVE if self.high else ENTER), LOAD_FLOOR)
+        if len(self.history) >= HISTORY_SAMPLES_MIN:
+            base = sorted(self.history)[int(BASE_LOAD_PERCENTILE * (len(self.history) - 1))]
+            self.high = self.load > max(base * (LEAVE_FACTOR if self.high else ENTER_FACTOR), LOAD_FLOOR)
         self.history.append(self.load)
         return self.high
 
 
 class HotKeys:
-    """Which keys are hot, and over how many servers each of them goes."""
+    """The hot keys, and the number of nodes over which each of them is spread."""
 
     def __init__(self, rng: random.Random, now: float) -> None:
         self.topk = FastTopK(rng)
-        self.threshold = Threshold()
+        self.threshold = LoadThreshold()
         self.factoring = False
         self.spread: dict[str, tuple[int, float]] = {}
-        self.aged_at = now
+        self.halved_at = now
 
     def sample(self, now: float, rate: float, fleet: Fleet) -> None:
-        """Compares own load with its past; spreads follow step by step."""
-        self.topk.fit(rate)
-        if now >= self.aged_at + AGE_MS:
-            self.aged_at = now
-            self.topk.age()
+        """Samples the load and adjusts the mode and, in steps, the spread of each hot key."""
+        self.topk.resize(rate)
+        if now >= self.halved_at + HALF_LIFE_MS:
+            self.halved_at = now
+            self.topk.halve()
         high = self.threshold.sample(fleet.in_flight)
-        needed = {key: _needed(fleet, key, share, high) for key, share in self.topk.hot().items()}
+        needed = {
+            key: _required_spread(fleet, key, share, high) for key, share in self.topk.top_rates().items()
+        }
         factoring = high or any(n > 1 for n in needed.values())
         if factoring and not self.factoring:
-            self.topk.switch()
+            self.topk.enter_factoring()
         elif self.factoring and not factoring:
-            self.topk.normal()
+            self.topk.leave_factoring()
         self.factoring = factoring
         spread = {}
-        for key, servers in needed.items():
-            now_at, since = self.spread.get(key, (1, -math.inf))
-            if servers != now_at and now >= since + WIDEN_MS:
-                wider = min(servers, now_at + max(1, now_at // 2))
-                now_at, since = wider if servers > now_at else now_at - 1, now
-            spread[key] = now_at, since
+        for key, nodes in needed.items():
+            width, changed_at = self.spread.get(key, (1, -math.inf))
+            if nodes != width and now >= changed_at + SPREAD_STEP_MS:
+                wider = min(nodes, width + max(1, width // 2))
+                width, changed_at = wider if nodes > width else width - 1, now
+            spread[key] = width, changed_at
         self.spread = spread
 
-    def told(self) -> dict[str, Any]:
-        """What a process that takes this one's place is told."""
+    def export_state(self) -> dict[str, Any]:
+        """Returns the learned state for the process that replaces this one."""
         return {
             "load": list(self.threshold.history),
-            "topk": {name: getattr(self.topk, name) for name in TOLD},
+            "topk": {name: getattr(self.topk, name) for name in EXPORTED_FIELDS},
             "spread": {key: width for key, (width, _) in self.spread.items()},
             "factoring": self.factoring,
         }
 
-    def take(self, now: float, told: Mapping[str, Any], rate: float) -> None:
-        """Begins with that; an error leaves all as it was."""
-        load, topk = [float(n) for n in told["load"]], FastTopK(self.topk.rng)
+    def restore_state(self, now: float, state: Mapping[str, Any], rate: float) -> None:
+        """Restores exported state; on an error, nothing changes.
+
+        Raises AttributeError, KeyError, TypeError or ValueError for malformed state.
+        """
+        load, topk = [float(n) for n in state["load"]], FastTopK(self.topk.rng)
         for name in ("counters", "historical", "prior"):
-            setattr(topk, name, numbers(told["topk"][name]))
-        topk.compared, topk.seen = float(told["topk"]["compared"]), float(told["topk"]["seen"])
+            setattr(topk, name, finite_numbers(state["topk"][name]))
+        topk.compared, topk.seen = float(state["topk"]["compared"]), float(state["topk"]["seen"])
         if topk.historical.keys() != topk.prior.keys():
-            raise ValueError("the historical list has keys without their rates")
-        topk.fifo = [str(key) for key in told["topk"]["fifo"]][-FIFO_MAX:]
+            raise ValueError("the keys of the historical list differ from those of its rates")
+        topk.fifo = [str(key) for key in state["topk"]["fifo"]][-FIFO_MAX:]
         topk.fifo_counts = dict(Counter(topk.fifo))
-        spread = {str(key): (int(width), now) for key, width in told["spread"].items()}
-        factoring = bool(told["factoring"])
+        spread = {str(key): (int(width), now) for key, width in state["spread"].items()}
+        factoring = bool(state["factoring"])
         self.threshold.history.extend(load)
         self.threshold.load = load[-1] if load else 0.0
         self.topk, self.spread, self.factoring = topk, spread, factoring
-        topk.fit(rate)
+        topk.resize(rate)
+
 
+def _required_spread(fleet: Fleet, key: str, rate: float, high: bool) -> int:
+    """Returns how many nodes a hot key needs.
 
-def _needed(fleet: Fleet, key: str, rate: float, high: bool) -> int:
-    """How many servers a hot key needs. A key that is more than its home's due traffic swamps it below
-    every threshold of load: that counts as load by itself."""
-    room, servers = 0.0, 0
+    A key with more traffic than its home's due share overloads the home while the instance's load is still
+    below the threshold; its rate is therefore decisive by itself.
+    """
+    capacity, nodes = 0.0, 0
     for node in fleet.order(key):
-        servers += 1
-        room += fleet.share(node)
-        if room * SWAMP >= rate:
+        nodes += 1
+        capacity += fleet.share(node)
+        if capacity * KEY_SHARE_MAX >= rate:
             break
     else:
-        servers = max(servers, math.ceil(rate / SWAMP * len(fleet.ready)))
-    return max(servers, LOAD_SPREAD if high else 1)
+        nodes = max(nodes, math.ceil(rate / KEY_SHARE_MAX * len(fleet.ready)))
+    return max(nodes, HIGH_LOAD_SPREAD if high else 1)
--- a/notchflow/policy/instance_count.py
+++ b/notchflow/policy/instance_count.py
@@ -1,16 +1,17 @@
-"""What changes for a balancer by the number of balancers that run.
+"""How decisions depend on the number of proxy instances.
 
-All balancers run this, and none hears of the others: what is harmless in one is multiplied by their number,
-and what one learns alone comes later the more there are (docs/design/fleet.md). Pure.
+All instances run the same policy without exchanging messages: an effect that is harmless in one instance is
+multiplied by their number, and the more instances there are, the longer each takes to learn from its own
+traffic (docs/design/fleet.md). Pure.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-ALONE: Final = 3  # balancers up to which each sees by itself what the fleet does to a server
+FEW_INSTANCES_MAX: Final = 3  # up to this number, an instance can judge the load of a node by its own traffic
 
 
-def many(balancers: int) -> bool:
-    """Whether what one balancer has in flight is but a small part of what all have."""
-    return balancers > ALONE
+def has_many_instances(balancers: int) -> bool:
+    """Whether one instance's requests in flight are only a small part of those of all instances."""
+    return balancers > FEW_INSTANCES_MAX
--- a/notchflow/policy/kinds.py
+++ b/notchflow/policy/kinds.py
@@ -1,7 +1,8 @@
-"""What each kind of server can do, learned from how long its answers take.
+"""Estimates the relative capacity of each kind of node from the latency of its answers.
 
-Pure. Weights are multiples, 1 for a kind that nothing is known of. One balancer of few corrects them step by
-step (`Steps`); one of many, that hears little, holds a belief of each kind (`Beliefs`; docs/design/fleet.md).
+Pure. Weights are factors, 1 for an unknown kind. With few instances, each corrects the weights step by step
+(`Steps`); with many instances, each sees few answers and keeps a mean and a variance per kind (`Beliefs`;
+docs/design/fleet.md).
 """
 
 from __future__ import annotations
@@ -10,92 +11,97 @@
 from collections.abc import Mapping
 from typing import Any, Final
 
-LEARN_GAIN: Final = 0.5  # of the logarithm of its relative latency
-LEARN_BAND: Final = 0.12
-LEARN_SURE: Final = 2.0  # and so many times its likely error, one over the root of the answers seen
-LEARN_KEEP: Final = 400.0  # answers of a kind after which the older ones fade
-LEARN_MIN, LEARN_MAX = 0.1, 4.0
-# --- beliefs: variances are of natural logarithms
-PRIOR_VAR: Final = 0.5  # a kind may do twice as much as the middle of all, or half: one standard deviation
-ANSWER_VAR: Final = 1.0  # of one answer's time over its mean, as of an exponential law
-MODEL_VAR: Final = 0.1  # no reading is surer than that: times follow load only roughly
-DRIFT_VAR: Final = 0.001  # a second: what kinds can do changes slowly
-OCTAVE: Final = 0.5 * math.log(2)  # weights move in half octaves: balancers that each know a little agree ...
-HOLD: Final = 0.8  # ... and only once the belief is so much of a step away
-CAUTION: Final = 3.0  # times the variance: of a kind that nothing is known of a fifth is counted
+STEP_GAIN: Final = 0.5  # of the logarithm of a kind's relative latency
+STEP_DEAD_BAND: Final = 0.12  # smaller deviations of the logarithm are ignored
+STEP_DEVIATIONS: Final = 2.0  # and deviations below so many standard errors, 1 / sqrt(answers), are ignored
+STEP_HISTORY: Final = 400.0  # answers of a kind above which the counts are halved
+WEIGHT_MIN, WEIGHT_MAX = 0.1, 4.0
+# --- Beliefs: all variances are of natural logarithms
+PRIOR_VAR: Final = 0.5  # one standard deviation is a factor of two around the mean of all kinds
+ANSWER_VAR: Final = 1.0  # of one answer's latency over the mean, as for an exponential distribution
+MODEL_VAR: Final = 0.1  # added to every observation: latency follows load only roughly
+DRIFT_VAR_PER_S: Final = 0.001  # the capacity of a kind changes slowly
+# Weights change in steps of a factor sqrt(2), so that instances with slightly different estimates agree.
+LOG_STEP: Final = 0.5 * math.log(2)
+HYSTERESIS: Final = 0.8  # part of a step by which the mean must differ before the weight changes
+CONFIDENCE_DECAY: Final = 3.0  # per unit of variance; an unknown kind has a confidence of about a fifth
 
 
 class Steps:
-    """Weights corrected step by step, each on what was heard since the last one."""
+    """Corrects weights in steps, each based on the answers since the last correction."""
 
-    __slots__ = ("weights", "slow")
+    __slots__ = ("weights", "ratios")
 
     def __init__(self) -> None:
         self.weights: dict[str, float] = {}
-        self.slow: dict[str, list[float]] = {}  # kind -> sum and count of relative latencies lately
+        self.ratios: dict[str, list[float]] = {}  # kind -> sum and count of recent relative latencies
 
     def add_answer(self, kind: str, ratio: float, sent_at: float) -> None:
-        """An answer took so many times what is usual for its class."""
-        total = self.slow.setdefault(kind, [0.0, 0.0])
+        """Adds an answer; `ratio` is its latency over the mean of its class."""
+        total = self.ratios.setdefault(kind, [0.0, 0.0])
         total[0] += ratio
         total[1] += 1
 
     def update_weights(self, now: float) -> bool:
-        """Corrects the weights; whether one changed."""
-        means = {k: s / n for k, (s, n) in sorted(self.slow.items()) if n >= LEARN_SURE**2}
+        """Corrects the weights; returns whether one changed."""
+        means = {k: s / n for k, (s, n) in sorted(self.ratios.items()) if n >= STEP_DEVIATIONS**2}
         if len(means) < 2:
             return False
-        middle = sum(math.log(m) for m in means.values()) / len(means)
+        mean_log = sum(math.log(m) for m in means.values()) / len(means)
         changed = False
         for kind, mean in means.items():
-            off = math.log(mean) - middle
-            # At a trickle chance would let each instance's weights wander off, and with them the homes: acts
-            # only on what the number of answers proves, then counts afresh.
-            if abs(off) > max(LEARN_BAND, LEARN_SURE / math.sqrt(self.slow[kind][1])):
-                weight = self.weights.get(kind, 1.0) * math.exp(-LEARN_GAIN * off)
-                self.weights[kind] = min(max(weight, LEARN_MIN), LEARN_MAX)
+            deviation = math.log(mean) - mean_log
+            # At low traffic, chance would let each instance's weights drift apart, and with them the homes of
+            # keys. Only deviations that are significant for the number of answers count. Then counting
+            # restarts.
+            if abs(deviation) > max(STEP_DEAD_BAND, STEP_DEVIATIONS / math.sqrt(self.ratios[kind][1])):
+                weight = self.weights.get(kind, 1.0) * math.exp(-STEP_GAIN * deviation)
+                self.weights[kind] = min(max(weight, WEIGHT_MIN), WEIGHT_MAX)
                 changed = True
-        for seen in self.slow.values():
-            fading = 0.0 if changed else 0.5 if seen[1] > LEARN_KEEP else 1.0
-            seen[:] = [seen[0] * fading, seen[1] * fading]
+        for total in self.ratios.values():
+            factor = 0.0 if changed else 0.5 if total[1] > STEP_HISTORY else 1.0
+            total[:] = [total[0] * factor, total[1] * factor]
         return changed
 
-    def told(self) -> dict[str, Any]:
-        """What a process that takes this one's place is told."""
-        return {"kinds": self.weights, "slow": self.slow}
+    def export_state(self) -> dict[str, Any]:
+        """Returns the learned state for the process that replaces this one."""
+        return {"kinds": self.weights, "slow": self.ratios}
 
-    def take(self, told: Mapping[str, Any]) -> None:
-        """Begins with that; an error leaves all as it was."""
-        weights = numbers(told["kinds"])
-        self.slow = {str(kind): [float(s), float(n)] for kind, (s, n) in told["slow"].items()}
+    def restore_state(self, state: Mapping[str, Any]) -> None:
+        """Restores exported state; on an error, nothing changes."""
+        weights = finite_numbers(state["kinds"])
+        self.ratios = {str(kind): [float(s), float(n)] for kind, (s, n) in state["slow"].items()}
         self.weights = weights
 
 
 class Belief:
-    """Of one kind: mean and variance of the logarithm of its capacity over the middle of all, the weight in
-    force as a logarithm, and the answers since the last step."""
+    """The estimate for one kind: mean and variance of the logarithm of its capacity relative to the mean of
+    all kinds, the logarithm of the weight in force, and the answers since the last update."""
 
     __slots__ = ("mean", "var", "applied", "total", "count")
 
     def __init__(self, mean: float = 0.0, var: float = PRIOR_VAR) -> None:
         self.mean, self.var = mean, var
-        self.applied = OCTAVE * round(mean / OCTAVE)
+        self.applied = LOG_STEP * round(mean / LOG_STEP)
         self.total = self.count = 0.0
 
 
 class Beliefs:
-    """A scalar Kalman filter for each kind. How long its answers take, over what is usual, is a noisy reading
-    of its load, and so of its capacity under the weight that was in force when they were sent."""
+    """A scalar Kalman filter per kind. The relative latency of its answers is a noisy observation of its
+    load, and thus of its capacity under the weight that was in force when the attempts were sent."""
 
-    __slots__ = ("beliefs", "weights", "changed_at", "stepped_at")
+    __slots__ = ("beliefs", "weights", "changed_at", "updated_at")
 
     def __init__(self) -> None:
         self.beliefs: dict[str, Belief] = {}
         self.weights: dict[str, float] = {}
-        self.changed_at = self.stepped_at = -math.inf
+        self.changed_at = self.updated_at = -math.inf
 
     def add_answer(self, kind: str, ratio: float, sent_at: float) -> None:
-        """An answer took so many times what is usual. One sent under former weights would tell of those."""
+        """Adds an answer; `ratio` is its latency over the mean of its class.
+
+        Answers to attempts that were sent under earlier weights are ignored.
+        """
         belief = self.beliefs.get(kind)
         if belief is None:
             belief = self.beliefs[kind] = Belief()
@@ -104,68 +110,75 @@
             belief.count += 1
 
     def confidence(self, kind: str) -> float:
-        """The part of its weight that a kind may be trusted with."""
+        """Returns how far the weight of a kind can be relied on, from 0 to 1."""
         belief = self.beliefs.get(kind)
-        return math.exp(-CAUTION * (belief.var if belief is not None else PRIOR_VAR))
+        return math.exp(-CONFIDENCE_DECAY * (belief.var if belief is not None else PRIOR_VAR))
 
     def update_weights(self, now: float) -> bool:
-        """Takes in what was heard since the last step; whether a weight changed."""
-        span = min(now - self.stepped_at, 60_000.0) / 1000 if self.stepped_at > -math.inf else 0.0
-        self.stepped_at = now
+        """Applies the answers since the last update; returns whether a weight changed."""
+        elapsed_s = min(now - self.updated_at, 60_000.0) / 1000 if self.updated_at > -math.inf else 0.0
+        self.updated_at = now
         for belief in self.beliefs.values():
-            belief.var = min(belief.var + DRIFT_VAR * span, PRIOR_VAR)
-        heard = [b for b in self.beliefs.values() if b.total > 0]
-        if len(heard) < 2:
+            belief.var = min(belief.var + DRIFT_VAR_PER_S * elapsed_s, PRIOR_VAR)
+        observed = [b for b in self.beliefs.values() if b.total > 0]
+        if len(observed) < 2:
             return False
-        middle = sum(math.log(b.total / b.count) for b in heard) / len(heard)
-        for belief in heard:
-            reading = belief.applied - (math.log(belief.total / belief.count) - middle)
+        mean_log = sum(math.log(b.total / b.count) for b in observed) / len(observed)
+        for belief in observed:
+            observation = belief.applied - (math.log(belief.total / belief.count) - mean_log)
             gain = belief.var / (belief.var + ANSWER_VAR / belief.count + MODEL_VAR)
-            mean = belief.mean + gain * (reading - belief.mean)
-            belief.mean = min(max(mean, -math.log(LEARN_MAX)), math.log(LEARN_MAX))
+            mean = belief.mean + gain * (observation - belief.mean)
+            belief.mean = min(max(mean, -math.log(WEIGHT_MAX)), math.log(WEIGHT_MAX))
             belief.var *= 1 - gain
             belief.total = belief.count = 0.0
-        moved = [b for b in self.beliefs.values() if abs(b.mean - b.applied) > HOLD * OCTAVE]
-        for belief in moved:
-            belief.applied = OCTAVE * round(belief.mean / OCTAVE)
-        if moved:
+        changed = [b for b in self.beliefs.values() if abs(b.mean - b.applied) > HYSTERESIS * LOG_STEP]
+        for belief in changed:
+            belief.applied = LOG_STEP * round(belief.mean / LOG_STEP)
+        if changed:
             self.changed_at = now
-            self._weigh()
-        return bool(moved)
+            self._recompute_weights()
+        return bool(changed)
 
-    def _weigh(self) -> None:
+    def _recompute_weights(self) -> None:
         self.weights = {kind: math.exp(belief.applied) for kind, belief in self.beliefs.items()}
 
-    def told(self) -> dict[str, Any]:
-        """What a process that takes this one's place is told."""
+    def export_state(self) -> dict[str, Any]:
+        """Returns the learned state for the process that replaces this one."""
         return {"kinds": self.weights, "beliefs": {kind: [b.mean, b.var] for kind, b in self.beliefs.items()}}
 
-    def take(self, told: Mapping[str, Any]) -> None:
-        """Begins with that; an error leaves all as it was. Weights alone are a mean without any certainty."""
-        known = {kind: [math.log(w), PRIOR_VAR] for kind, w in numbers(told["kinds"]).items() if w > 0}
+    def restore_state(self, state: Mapping[str, Any]) -> None:
+        """Restores exported state; on an error, nothing changes.
+
+        Weights without beliefs get the prior variance.
+
+        Raises KeyError, TypeError or ValueError for malformed state.
+        """
+        known = {
+            kind: [math.log(w), PRIOR_VAR] for kind, w in finite_numbers(state["kinds"]).items() if w > 0
+        }
         beliefs = {}
-        for kind, (mean, var) in {**known, **told.get("beliefs", {})}.items():
+        for kind, (mean, var) in {**known, **state.get("beliefs", {})}.items():
             mean, var = float(mean), float(var)
-            if not (abs(mean) <= 2 * math.log(LEARN_MAX) and 0 < var <= PRIOR_VAR):
-                raise ValueError(f"belief of {kind}: a mean of {mean!r} and a variance of {var!r} are none")
+            if not (abs(mean) <= 2 * math.log(WEIGHT_MAX) and 0 < var <= PRIOR_VAR):
+                raise ValueError(f"belief of {kind}: mean {mean!r} or variance {var!r} out of range")
             beliefs[str(kind)] = Belief(mean, var)
         self.beliefs = beliefs
-        self._weigh()
+        self._recompute_weights()
 
 
-def select_estimator(many: bool, known: Steps | Beliefs | None = None) -> Steps | Beliefs:
-    """The one that fits the number of balancers; it begins with what another has learned."""
-    begun = Beliefs() if many else Steps()
+def select_estimator(many_instances: bool, known: Steps | Beliefs | None = None) -> Steps | Beliefs:
+    """Returns the estimator that fits the number of instances, with the weights of the known one."""
+    created = Beliefs() if many_instances else Steps()
     if known is not None:
-        if type(known) is type(begun):
+        if type(known) is type(created):
             return known
-        begun.take({"kinds": known.weights, "slow": {}})
-    return begun
+        created.restore_state({"kinds": known.weights, "slow": {}})
+    return created
 
 
-def numbers(told: Mapping[str, Any]) -> dict[str, float]:
-    """Finite numbers by name, none negative; ValueError or TypeError for anything else."""
-    values = {str(name): float(value) for name, value in told.items()}
+def finite_numbers(values_by_name: Mapping[str, Any]) -> dict[str, float]:
+    """Returns finite, non-negative numbers by name; raises ValueError or TypeError for anything else."""
+    values = {str(name): float(value) for name, value in values_by_name.items()}
     if not all(math.isfinite(value) and value >= 0 for value in values.values()):
         raise ValueError("expected finite numbers that are not negative")
     return values
--- a/notchflow/policy/nodes.py
+++ b/notchflow/policy/nodes.py
@@ -1,4 +1,4 @@
-"""One server as a balancer knows it, and what it counts there. Types: notchflow/interface.py."""
+"""The local state of one node: its weight, its load and its health. Types: notchflow/interface.py."""
 
 from __future__ import annotations
 
@@ -9,65 +9,72 @@
 
 from notchflow.interface import Effect, Member, State, Status
 
-TOLERANCE: Final = 1.2
-CHANCE: Final = 4.0  # unanswered requests that are no evidence yet, at a trickle above all
-FADE: Final = 0.8
-EJECT_MS: Final = 1_000.0  # a first ejection
+ACCEPTS_MULTIPLIER: Final = 1.2  # requests admitted for each one that is answered in time
+UNANSWERED_ALLOWANCE: Final = 4.0  # failures tolerated as chance; without it low traffic would cause shedding
+DECAY: Final = 0.8  # factor applied to the counters of a throttle at every sample
+FIRST_EJECTION_MS: Final = 1_000.0  # every further ejection in a row takes twice as long
 
-# Looking up a member of an enum costs as much as a call: these are looked up several times a request.
+# Bound to module names because looking up an enum member costs as much as a function call, and these are
+# needed several times per request.
 OK, ERROR, FULL, TIMEOUT = Status.OK, Status.ERROR, Status.FULL, Status.TIMEOUT
 CONNECT_FAILED, RESET = Status.CONNECT_FAILED, Status.RESET
 CANCELLED, MOOT, MISS = Status.CANCELLED, Status.MOOT, Status.MISS
-ANSWERED: Final = (OK, ERROR, FULL, MISS)  # whatever it says, the server is alive
-SILENT: Final = (CANCELLED, MOOT, MISS)  # says nothing of whether the server answers in time
+ANSWERED: Final = (OK, ERROR, FULL, MISS)  # any of these proves that the node is alive
+INCONCLUSIVE: Final = (CANCELLED, MOOT, MISS)  # no evidence of whether the node answers in time
 READY, SAFE, UNSAFE = State.READY, Effect.SAFE, Effect.UNSAFE
 
 
-def mixed(data: int | str) -> int:
-    """A 64-bit hash that is the same in every process."""
+def hash64(data: int | str) -> int:
+    """Returns a 64-bit hash that is the same in every process."""
     raw = data.encode() if isinstance(data, str) else data.to_bytes(8, "big")
     return int.from_bytes(hashlib.blake2b(raw, digest_size=8).digest(), "big")
 
 
 class Throttle:
-    """Lets through no more than a little over what is answered in time (both counted lately)."""
+    """Adaptive throttling: admits slightly more requests than were recently answered in time.
 
-    __slots__ = ("asked", "good")
+    Both counters decay exponentially.
+    """
+
+    __slots__ = ("requests", "accepts")
 
     def __init__(self) -> None:
-        self.asked = self.good = 0.0
+        self.requests = self.accepts = 0.0
 
-    def count(self, good: bool) -> None:
-        self.asked += 1
-        self.good += good
+    def count(self, in_time: bool) -> None:
+        """Counts a request and whether it was answered in time."""
+        self.requests += 1
+        self.accepts += in_time
 
-    def fade(self) -> None:
-        """Lets the past fade."""
-        self.asked *= FADE
-        self.good *= FADE
+    def decay(self) -> None:
+        """Reduces the weight of past requests."""
+        self.requests *= DECAY
+        self.accepts *= DECAY
 
     def pressure(self) -> float:
-        over = self.asked - TOLERANCE * self.good - CHANCE
-        return over / (self.asked + 1) if over > 0 else 0.0
+        """Returns the share of requests that should be rejected, from 0 to 1."""
+        excess = self.requests - ACCEPTS_MULTIPLIER * self.accepts - UNANSWERED_ALLOWANCE
+        return excess / (self.requests + 1) if excess > 0 else 0.0
 
 
-class Mute:
-    """A class that a server has lately failed, while it served others."""
+class ClassHealth:
+    """The health of one request class on a node that recently failed it while serving others."""
 
-    __slots__ = ("failures", "until", "pause", "out")
+    __slots__ = ("failures", "ejected_until", "ejection_ms", "outstanding")
 
     def __init__(self) -> None:
-        self.failures = 0  # less the answers since
-        self.until = 0.0
-        self.pause = EJECT_MS
-        self.out = 0  # attempts since it first failed: one at a time tries whether it still does
+        self.failures = 0  # minus the successful answers since
+        self.ejected_until = 0.0
+        self.ejection_ms = FIRST_EJECTION_MS
+        self.outstanding = 0  # attempts sent since the first failure; trials run one at a time
 
-    def bars(self, now: float) -> bool:
-        return self.until > now or (self.until > 0 and self.out > 0)
+    def blocks(self, now: float) -> bool:
+        """Whether the class is ejected from the node, or a trial after an ejection is outstanding."""
+        return self.ejected_until > now or (self.ejected_until > 0 and self.outstanding > 0)
 
 
 class Node:
-    """One server as this balancer knows it."""
+    """One node as this instance sees it."""
 
     __slots__ = (
         "id",
@@ -79,14 +86,14 @@
         "answered_at",
         "cold_until",
         "ejected_until",
-        "pause",
-        "cold_sent",
-        "trial",
+        "ejection_ms",
+        "cold_send_times",
+        "on_trial",
         "throttle",
         "newest",
-        "mutes",
-        "slow",
-        "slow_at",
+        "class_health",
+        "slowness_ewma",
+        "slowness_at",
         "outstanding",
         "tokens",
         "refilled_at",
@@ -94,22 +101,23 @@
 
     def __init__(self, member: Member) -> None:
         self.id = member.node
-        self.salt = mixed(member.node)
+        self.salt = hash64(member.node)
         self.in_flight = 0
-        self.outstanding: dict[tuple[int, int], float] = {}  # attempts under way: when each was sent
+        self.outstanding: dict[tuple[int, int], float] = {}  # (request id, attempt) -> time of sending
         self.cold_until = -math.inf
         self.restart(member)
 
     def restart(self, member: Member) -> None:
+        """Resets what was learned about the node, because it is new or has restarted."""
         self.member = member
         self.weight = 0.0
         self.failures = 0
-        self.answered_at = self.newest = -math.inf
+        self.answered_at = self.newest = -math.inf  # newest: latest sending time of an answered attempt
         self.ejected_until = 0.0
-        self.pause = EJECT_MS
-        self.trial = False
-        self.cold_sent: deque[float] = deque()
-        self.tokens, self.refilled_at = 0.0, -math.inf  # for requests at home elsewhere, while it is cold
+        self.ejection_ms = FIRST_EJECTION_MS
+        self.on_trial = False
+        self.cold_send_times: deque[float] = deque()
+        self.tokens, self.refilled_at = 0.0, -math.inf  # bucket for requests with another home, while cold
         self.throttle = Throttle()
-        self.slow, self.slow_at = 1.0, -math.inf
-        self.mutes: dict[str, Mute] = {}
+        self.slowness_ewma, self.slowness_at = 1.0, -math.inf
+        self.class_health: dict[str, ClassHealth] = {}
--- a/notchflow/policy/pending.py
+++ b/notchflow/policy/pending.py
@@ -1,4 +1,4 @@
-"""A request in hand: its attempts, and what the rules still allow for it."""
+"""Requests that are not yet answered: their attempts, the rules for repeating them, and hedge timers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from notchflow.interface import Effect, Group, Request, RequestClass, Status
 from notchflow.policy.nodes import READY, SAFE, UNSAFE, Node
 
-WINDOW_MARGIN_MS: Final = 5.0
+WINDOW_MARGIN_MS: Final = 5.0  # by which repeats stop before the nodes' deduplication window ends
 
 
 class Pending:
-    """A request in hand: its attempts, and what the rules still allow for it."""
+    """A request that is not yet answered: its attempts, and which further ones the rules allow."""
 
     __slots__ = (
         "request",
@@ -28,85 +28,93 @@
         "max_attempts",
         "done",
         "streaming",
-        "until",
+        "repeat_until",
     )
 
-    def __init__(self, request: Request, cls: RequestClass, most: int) -> None:
-        self.request, self.cls, self.max_attempts = request, cls, most
+    def __init__(self, request: Request, cls: RequestClass, max_attempts: int) -> None:
+        self.request, self.cls, self.max_attempts = request, cls, max_attempts
         self.deadline, self.body_incomplete = request.deadline, request.body_incomplete
-        self.outstanding: dict[int, tuple[Node, float]] = {}
+        self.outstanding: dict[int, tuple[Node, float]] = {}  # attempt -> node and time of sending
         self.tried: tuple[Node, ...] = ()
         self.may_have_run: tuple[tuple[Node, float], ...] = ()
         self.attempts = 0
         self.done = False
         self.streaming = False
-        self.until = math.inf  # no attempt begins from then on: boxes forget an earlier one under its key
-        if request.earlier is not None:
+        # No attempt may start from this time on, because nodes forget the idempotency key of an earlier one.
+        self.repeat_until = math.inf
+        if request.may_have_run_since is not None:
             window = cls.window_ms - WINDOW_MARGIN_MS if cls.effect is Effect.KEYED else 0.0
-            self.until = request.earlier + window
+            self.repeat_until = request.may_have_run_since + window
 
-    def ended(self, attempt: int, status: Status) -> None:
+    def attempt_ended(self, attempt: int, status: Status) -> None:
+        """Removes an attempt from the outstanding ones and notes whether it may have run."""
         sent = self.outstanding.pop(attempt)
         if not status.never_ran:
             self.may_have_run = *self.may_have_run, sent
 
-    def before(self) -> float:
-        """From when on no attempt may begin: servers forget what may have run under its key."""
+    def start_before(self) -> float:
+        """Returns the time before which an attempt must start: nodes then forget the idempotency key."""
         if self.cls.effect is not Effect.KEYED:
-            return self.until
+            return self.repeat_until
         earliest = min((at for _, at in (*self.may_have_run, *self.outstanding.values())), default=math.inf)
-        return min(self.until, earliest + self.cls.window_ms - WINDOW_MARGIN_MS)
+        return min(self.repeat_until, earliest + self.cls.window_ms - WINDOW_MARGIN_MS)
 
     def allows(self, node: Node, now: float) -> bool:
-        if node.member.state is not READY or now >= self.until or node in self.tried:
+        """Whether an attempt may be sent to a node."""
+        if node.member.state is not READY or now >= self.repeat_until or node in self.tried:
             return False
-        return not self.attempts or self.may_go(node, now)
+        return not self.attempts or self.may_repeat_on(node, now)
 
-    def may_go(self, node: Node, now: float) -> bool:
+    def may_repeat_on(self, node: Node, now: float) -> bool:
+        """Whether the effect of the request class permits another attempt on a node."""
         if self.cls.effect is SAFE:
             return True
         earlier = [*self.may_have_run, *self.outstanding.values()]
         if self.cls.effect is UNSAFE or not earlier:
             return not earlier
-        if now >= self.before():
+        if now >= self.start_before():
             return False
-        group, here, there = self.cls.group, node.member, [other.member for other, _ in earlier]
-        near = group is Group.ALL or all(member.zone == here.zone for member in there)
-        return near and (group is not Group.CELL or all(member.cell == here.cell for member in there))
+        group, here, others = self.cls.group, node.member, [other.member for other, _ in earlier]
+        same_zone = group is Group.ALL or all(member.zone == here.zone for member in others)
+        return same_zone and (group is not Group.CELL or all(member.cell == here.cell for member in others))
 
     def may_refuse(self) -> bool:
+        """Whether a rejection, which promises that a retry is harmless, is true as the final answer."""
         if self.cls.effect is SAFE or not (self.may_have_run or self.outstanding):
             return True
         return self.cls.effect is Effect.KEYED and self.cls.group is Group.ALL
 
 
-class Copies:
-    """When which request may have a second copy, and the one timer that is set for the first of them."""
+class HedgeSchedule:
+    """When each request may be hedged, and the single timer that is set for the earliest of them."""
 
     def __init__(self) -> None:
         self.queue: list[tuple[float, int]] = []  # a heap
-        self.at = math.inf
+        self.timer_at = math.inf
 
-    def add(self, now: float, due: float, number: int) -> bool:
-        """Whether a timer must be set for it."""
-        heappush(self.queue, (due, number))
-        if due < self.at or now > self.at:  # the caller may have lost one or be late
-            self.at = due
+    def add(self, now: float, due_at: float, number: int) -> bool:
+        """Schedules a request; returns whether a timer must be set for it."""
+        heappush(self.queue, (due_at, number))
+        if due_at < self.timer_at or now > self.timer_at:  # the timer may be lost or late
+            self.timer_at = due_at
             return True
         return False
 
-    def come(self, now: float, pending: Container[int]) -> Iterator[int]:
-        """The requests that are due and still in hand, first to last."""
+    def pop_due(self, now: float, pending: Container[int]) -> Iterator[int]:
+        """Yields the pending requests that are due, earliest first."""
         while self.queue and (self.queue[0][0] <= now or self.queue[0][1] not in pending):
-            due, number = heappop(self.queue)
-            if due <= now:
+            due_at, number = heappop(self.queue)
+            if due_at <= now:
                 yield number
 
-    def next(self, now: float) -> float | None:
-        """When a timer must be set for the first that is left, if none is: two would stay two for good."""
-        if self.queue and not now < self.at <= self.queue[0][0]:
-            self.at = self.queue[0][0]
-            return self.at
-        if self.at <= now:
-            self.at = math.inf
+    def next_timer(self, now: float) -> float | None:
+        """Returns the time for which a timer must be set, or None if one is already set.
+
+        A second timer would never go away, since each timer that fires sets the next.
+        """
+        if self.queue and not now < self.timer_at <= self.queue[0][0]:
+            self.timer_at = self.queue[0][0]
+            return self.timer_at
+        if self.timer_at <= now:
+            self.timer_at = math.inf
         return None
--- a/notchflow/policy/rendezvous.py
+++ b/notchflow/policy/rendezvous.py
@@ -1,84 +1,101 @@
-"""The weighted rendezvous order of the servers for each key, remembered."""
+"""Weighted rendezvous hashing: the order of the nodes for each key, with a cache."""
 
 from __future__ import annotations
 
 import math
 from typing import Final
 
-from notchflow.policy.nodes import Node, mixed
+from notchflow.policy.nodes import Node, hash64
 
-PLACES: Final = 6
-LANE: Final = 16  # bytes: a 64-bit product of two 64-bit numbers stays in its lane
-SCORED: Final = 24  # servers scored for a key, of very many: fewer than PLACES once in 100,000 keys
-MEMO_MAX: Final = 20_000  # remembered keys
-WHOLE_MAX: Final = 64  # and those whose whole order is remembered
-MASK: Final = (1 << 64) - 1
+HEAD_PLACES: Final = 6  # nodes of a key's order that are cached for every key
+LANE_BYTES: Final = 16  # wide enough for the product of two 64-bit numbers
+# Expected number of nodes scored for a key in a large fleet. With 24, fewer than HEAD_PLACES of them remain
+# for one key in 100,000, and all nodes are scored for that key.
+SCORED_TARGET: Final = 24
+CACHED_HEADS_MAX: Final = 20_000  # keys whose first places are cached
+CACHED_FULL_ORDERS_MAX: Final = 64  # keys whose full order is cached
+MASK64: Final = (1 << 64) - 1
 
 
-class Order:
-    """The servers that are ready, with their weights, laid out so that a key's order is reckoned at once."""
+class RendezvousOrder:
+    """The ready nodes and their weights, packed into long integers that hash a key for all nodes at once."""
 
     def __init__(self) -> None:
         self.ready: list[Node] = []
         self.total_weight = 0.0
-        self.salts = self.ones = self.lows = self.halves = 0  # a lane for each that is ready
-        self.cuts: list[int] = []
-        self.sure = 0.0
-        self.memo: dict[str, list[Node]] = {}
-        self.whole: dict[str, list[Node]] = {}  # the same of hot keys, with all places
+        self.salts = self.ones = self.lows = self.halves = 0  # one lane per ready node
+        self.hash_cutoffs: list[int] = []
+        self.score_cutoff = 0.0
+        self.heads: dict[str, list[Node]] = {}
+        self.full_orders: dict[str, list[Node]] = {}  # of hot keys
 
-    def lay_out(self, ready: list[Node]) -> None:
-        """Takes over the servers and their weights as they are now."""
+    def rebuild(self, ready: list[Node]) -> None:
+        """Packs the nodes with their current weights and clears the caches."""
         self.ready = ready
         self.total_weight = sum(n.weight for n in ready)
-        self.memo.clear()
-        self.whole.clear()
+        self.heads.clear()
+        self.full_orders.clear()
         count = len(ready)
-        self.salts = int.from_bytes(b"".join(n.salt.to_bytes(LANE, "little") for n in self.ready), "little")
-        self.ones = int.from_bytes((1).to_bytes(LANE, "little") * count, "little")
-        self.lows, self.halves = self.ones * MASK, self.ones * (MASK >> 32)
-        self.cuts = []
-        if count > 2 * SCORED:  # of that many servers about SCORED score under this, whatever the weights
-            under = SCORED / self.total_weight
-            self.cuts = [int(math.exp(-n.weight * under) * 2.0**64) for n in self.ready]
-            self.sure = under * (1 - 1e-6)  # who is cut off scores no less, but for the rounding
+        self.salts = int.from_bytes(
+            b"".join(n.salt.to_bytes(LANE_BYTES, "little") for n in self.ready), "little"
+        )
+        self.ones = int.from_bytes((1).to_bytes(LANE_BYTES, "little") * count, "little")
+        self.lows, self.halves = self.ones * MASK64, self.ones * (MASK64 >> 32)
+        self.hash_cutoffs = []
+        if count > 2 * SCORED_TARGET:
+            # About SCORED_TARGET nodes score below this, whatever the weights.
+            cutoff = SCORED_TARGET / self.total_weight
+            self.hash_cutoffs = [int(math.exp(-n.weight * cutoff) * 2.0**64) for n in self.ready]
+            self.score_cutoff = cutoff * (1 - 1e-6)  # excluded nodes score no less, apart from rounding
+
+    def rank(self, key: str, places: int) -> list[Node]:
+        """Returns the first places of a key's weighted rendezvous order.
 
-    def ranked(self, key: str, places: int) -> list[Node]:
-        """The first places of the weighted rendezvous order of a key. All servers are hashed at once, as
-        lanes of one long integer, and only those are scored that can be among so few places."""
-        point = mixed(int(key, 16) & MASK if _hex(key) else mixed(key))
-        lanes = ((self.salts ^ (self.ones * point)) * 0x9E3779B97F4A7C15) & self.lows
+        All nodes are hashed at once as lanes of one long integer; only those that can be among the requested
+        places are scored.
+        """
+        key_hash = hash64(int(key, 16) & MASK64 if _is_hex(key) else hash64(key))
+        lanes = ((self.salts ^ (self.ones * key_hash)) * 0x9E3779B97F4A7C15) & self.lows
         lanes = ((lanes ^ ((lanes >> 32) & self.halves)) * 0xD6E8FEB86659FD93) & self.lows
-        hashes = memoryview(lanes.to_bytes(LANE * len(self.ready), "little")).cast("Q").tolist()[::2]
-        few, drawn = bool(self.cuts) and places <= PLACES, list(zip(hashes, self.ready, strict=True))
+        hashes = memoryview(lanes.to_bytes(LANE_BYTES * len(self.ready), "little")).cast("Q").tolist()[::2]
+        few, hashed = (
+            bool(self.hash_cutoffs) and places <= HEAD_PLACES,
+            list(zip(hashes, self.ready, strict=True)),
+        )
         if few:
-            drawn = [pair for pair, cut in zip(drawn, self.cuts, strict=True) if pair[0] >= cut]
+            hashed = [
+                pair for pair, cutoff in zip(hashed, self.hash_cutoffs, strict=True) if pair[0] >= cutoff
+            ]
         scored = sorted(
             [
-                (-math.log(((x >> 11) + 1) * 1.1102230246251565e-16) / node.weight, node.id, node)
-                for x, node in drawn
+                (-math.log(((node_hash >> 11) + 1) * 1.1102230246251565e-16) / node.weight, node.id, node)
+                for node_hash, node in hashed
             ]
         )
-        if few and (len(scored) < places or scored[places - 1][0] >= self.sure):
-            return self.ranked(key, len(self.ready))[:places]
+        if few and (len(scored) < places or scored[places - 1][0] >= self.score_cutoff):
+            return self.rank(key, len(self.ready))[:places]
         return [node for _, _, node in scored[:places]]
 
     def head(self, key: str) -> list[Node]:
-        """The remembered head of a key's order."""
-        places = self.memo.get(key)
-        return places if places is not None else self._remember(self.memo, MEMO_MAX, key, PLACES)
+        """Returns the first places of a key's order from the cache."""
+        places = self.heads.get(key)
+        return places if places is not None else self._cache(self.heads, CACHED_HEADS_MAX, key, HEAD_PLACES)
 
-    def all_places(self, key: str) -> list[Node]:
-        """The whole order of a key, remembered: for hot keys, which are few."""
-        places = self.whole.get(key)
-        return places if places is not None else self._remember(self.whole, WHOLE_MAX, key, len(self.ready))
+    def full_order(self, key: str) -> list[Node]:
+        """Returns a key's full order from the cache; meant for hot keys, which are few."""
+        places = self.full_orders.get(key)
+        return (
+            places
+            if places is not None
+            else self._cache(self.full_orders, CACHED_FULL_ORDERS_MAX, key, len(self.ready))
+        )
 
-    def _remember(self, memo: dict[str, list[Node]], most: int, key: str, places: int) -> list[Node]:
-        if len(memo) >= most:
-            memo.clear()
-        memo[key] = order = self.ranked(key, places)
+    def _cache(self, cache: dict[str, list[Node]], size_max: int, key: str, places: int) -> list[Node]:
+        if len(cache) >= size_max:
+            cache.clear()
+        cache[key] = order = self.rank(key, places)
         return order
 
 
-def _hex(key: str) -> bool:
+def _is_hex(key: str) -> bool:
     return len(key) <= 16 and all(c in "0123456789abcdef" for c in key)
--- a/tests/test_mechanism.py
+++ b/tests/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""FastTopK, the home, the threshold and the load bound."""
+"""Hot keys, rendezvous order, load threshold, load bound and hedge timers."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 )
 from notchflow.policy.balancer import Balancer
 from notchflow.policy.fleet import Fleet
-from notchflow.policy.hot_keys import COMPARISONS, LOAD_SPREAD, FastTopK, Threshold
-from notchflow.policy.nodes import mixed
-from notchflow.policy.rendezvous import MASK, PLACES
+from notchflow.policy.hot_keys import COMPARISONS, HIGH_LOAD_SPREAD, FastTopK, LoadThreshold
+from notchflow.policy.nodes import hash64
+from notchflow.policy.rendezvous import HEAD_PLACES, MASK64
 from tests.helpers import make_balancer, make_fleet, make_key, make_request, make_settings, ok, sends
 
 
 def feed(topk: FastTopK, rng: random.Random, count: int, hot: dict[str, float]) -> None:
-    names, shares = [*hot, ""], [*hot.values(), 1 - sum(hot.values())]
-    for name in rng.choices(names, shares, k=count):
-        topk.observe(name or make_key(rng.randrange(10**9)))
+    keys, shares = [*hot, ""], [*hot.values(), 1 - sum(hot.values())]
+    for key in rng.choices(keys, shares, k=count):
+        topk.observe(key or make_key(rng.randrange(10**9)))
 
 
-def test_skewed_stream_gives_rates_near_the_true_ones() -> None:
+def test_rates_of_a_skewed_stream_are_estimated() -> None:
     topk = FastTopK(random.Random(1))
     topk.capacity = 256
     feed(topk, random.Random(2), 4000, {"a": 0.2, "b": 0.05})
-    hot = topk.hot()
+    hot = topk.top_rates()
     assert list(hot)[:2] == ["a", "b"]
     assert 0.17 < hot["a"] < 0.23
     assert 0.035 < hot["b"] < 0.065
@@ -46,80 +46,83 @@
 def test_uniform_stream_has_no_hot_keys() -> None:
     topk = FastTopK(random.Random(1))
     feed(topk, random.Random(2), 4000, {})
-    assert topk.hot() == {}
+    assert topk.top_rates() == {}
 
 
-def test_trickle_names_no_key_on_a_few_coincidences() -> None:
+def test_a_few_matches_make_no_key_hot() -> None:
     topk = FastTopK(random.Random(1))
     for name in ["a", "b", "a", "c", "d", "e", "f", "g", "h", "i", "j", "k", "a"]:
         topk.observe(name)
-    assert 0 < topk.counters["a"] < 6 and topk.hot() == {}
+    assert 0 < topk.counters["a"] < 6 and topk.top_rates() == {}
     feed(topk, random.Random(3), 80, {"z": 0.3})
-    assert "z" in topk.hot()
+    assert "z" in topk.top_rates()
 
 
-def test_shifting_stream_finds_the_new_key_behind_the_historical_ones() -> None:
+def test_a_new_hot_key_is_found_beside_the_historical_ones() -> None:
     topk = FastTopK(random.Random(1))
     feed(topk, random.Random(2), 1000, {"a": 0.3})
-    topk.switch()
+    topk.enter_factoring()
     assert list(topk.historical) == ["a"]
     assert topk.counters == {} and topk.compared == 0
     feed(topk, random.Random(3), 600, {"b": 0.3})
-    hot = topk.hot()
+    hot = topk.top_rates()
     assert hot["b"] > hot["a"]
     assert "a" not in topk.fifo[-300:]
-    topk.normal()
+    topk.leave_factoring()
     assert topk.historical == {}
 
 
-def test_ageing_forgets() -> None:
+def test_halving_counts_forgets_old_keys() -> None:
     topk = FastTopK(random.Random(1))
     feed(topk, random.Random(2), 500, {"a": 0.3})
     for _ in range(12):
-        topk.age()
-    assert topk.hot() == {}
+        topk.halve()
+    assert topk.top_rates() == {}
 
 
 @pytest.mark.parametrize(("balancers", "most"), [(1, 1.0), (200, 0.1)])
-def test_no_key_brings_a_cold_server_more_than_its_due_from_all_of_many(balancers: int, most: float) -> None:
-    """Guards against the floor of each budget: two requests a second of one key, times two hundred."""
+def test_no_key_exceeds_the_share_of_a_cold_node_over_many_instances(balancers: int, most: float) -> None:
+    """Guards against the minimum of each budget: two requests per second for one key, from two hundred
+    instances."""
     balancer, cold = make_balancer(60, balancers=balancers), 1000
     balancer.handle(1.0, Membership(ListKind.DELTA, (Member(cold, zone="a", ready_at_ms=1.0),)))
-    k = next(make_key(n) for n in range(5_000) if balancer.fleet.order(make_key(n))[0].id == cold)
-    for n in range(40):  # one in eight asks for the key, as this balancer has seen
-        balancer.hot_keys.topk.observe(k if n % 8 == 0 else make_key(9_000 + n))
-    balancer.rate = 0.02
+    key = next(make_key(n) for n in range(5_000) if balancer.fleet.order(make_key(n))[0].id == cold)
+    for n in range(40):  # one in eight requests is for the key
+        balancer.hot_keys.topk.observe(key if n % 8 == 0 else make_key(9_000 + n))
+    balancer.rate_per_ms = 0.02
     found = 0
     for n in range(300):
-        balancer.fleet.nodes[cold].cold_sent.clear()  # it is another one's turn
-        (send,) = sends(balancer.handle(10.0 + n, make_request(n, 10.0 + n, key=k)))
+        balancer.fleet.nodes[cold].cold_send_times.clear()  # as if another instance had sent it
+        (send,) = sends(balancer.handle(10.0 + n, make_request(n, 10.0 + n, key=key)))
         found += send.node == cold
         balancer.handle(10.5 + n, ok(send))
-    assert found / 300 <= most and (balancers > 1 or found == 300), "one alone has its budget"
+    assert found / 300 <= most and (
+        balancers > 1 or found == 300
+    ), "a single instance is limited by its budget only"
     rare = next(make_key(n) for n in range(5_000, 20_000) if balancer.fleet.order(make_key(n))[0].id == cold)
-    balancer.fleet.nodes[cold].cold_sent.clear()
+    balancer.fleet.nodes[cold].cold_send_times.clear()
     (send,) = sends(balancer.handle(400.0, make_request(999, 400.0, key=rare)))
-    assert send.node == cold, "what was not asked for lately goes home"
+    assert send.node == cold, "a key without recent requests goes to its home"
 
 
-def homes(fleet: Fleet, keys: range) -> dict[int, int]:
-    return {k: fleet.order(make_key(k))[0].id for k in keys}
+def homes(fleet: Fleet, numbers: range) -> dict[int, int]:
+    return {number: fleet.order(make_key(number))[0].id for number in numbers}
 
 
-def test_adding_and_removing_a_server_moves_only_its_keys() -> None:
+def test_adding_and_removing_a_node_moves_only_its_keys() -> None:
     fleet = Fleet(make_settings())
     fleet.update(0, Membership(ListKind.FULL, make_fleet(8)))
     before = homes(fleet, range(2000))
     fleet.update(1, Membership(ListKind.DELTA, (Member(5),)))
     after = homes(fleet, range(2000))
-    moved = [k for k in before if before[k] != after[k]]
+    moved = [number for number in before if before[number] != after[number]]
     assert 2000 / 9 * 0.8 < len(moved) < 2000 / 9 * 1.2
-    assert {after[k] for k in moved} == {5}
+    assert {after[number] for number in moved} == {5}
     fleet.update(2, Membership(ListKind.DELTA, (Member(5, State.GONE),)))
     assert homes(fleet, range(2000)) == before
 
 
-def test_a_cold_server_is_due_its_stated_share_and_takes_keys_gradually() -> None:
+def test_a_cold_node_takes_over_keys_gradually() -> None:
     fleet = Fleet(make_settings())
     fleet.update(0, Membership(ListKind.FULL, make_fleet(8)))
     fleet.update(1000, Membership(ListKind.DELTA, (Member(5, ready_at_ms=1000),)))
@@ -132,21 +135,21 @@
     assert abs(parts[2] - 1 / 9) < 0.02
 
 
-def test_the_coincidences_are_those_of_so_many_comparisons_one_by_one() -> None:
-    """Against the plain reading: every request is compared with m entries of the FIFO drawn at random."""
-    plain, keys, topk = random.Random(5), random.Random(9), FastTopK(random.Random(6))
+def test_counters_equal_those_of_individual_comparisons() -> None:
+    """The reference compares every request with COMPARISONS entries of the FIFO drawn at random."""
+    reference, keys, topk = random.Random(5), random.Random(9), FastTopK(random.Random(6))
     fifo: list[str] = []
     counters: Counter[str] = Counter()
     for step in range(30_000):
-        topk.capacity = (32, 512, 100)[step // 10_000]  # it shrinks and grows with the traffic
+        topk.capacity = (32, 512, 100)[step // 10_000]  # shrinks and grows, as with the traffic
         name = f"{keys.randrange(8) if keys.random() < 0.4 else keys.randrange(10**6):x}"
         topk.observe(name)
         if fifo:
             draws = min(len(fifo), COMPARISONS)
-            counters[name] += sum(fifo[int(plain.random() * len(fifo))] == name for _ in range(draws))
+            counters[name] += sum(fifo[int(reference.random() * len(fifo))] == name for _ in range(draws))
         fifo.append(name)
         del fifo[: max(len(fifo) - topk.capacity, 0)]
-    assert topk.fifo == fifo and topk.fifo_counts == Counter(fifo), "and it holds no more than the FIFO"
+    assert topk.fifo == fifo and topk.fifo_counts == Counter(fifo), "the counts match the FIFO"
     frequent = [f"{i:x}" for i in range(8)]
     for name in frequent:
         assert counters[name] > 2_000
@@ -155,27 +158,29 @@
     assert abs(both - 1) < 0.03
 
 
-def test_matches_have_the_binomial_law() -> None:
+def test_matches_are_binomially_distributed() -> None:
     topk, rounds = FastTopK(random.Random(1)), 20_000
     for share in (0.002, 0.1, 0.5, 0.95):
-        seen = Counter(topk._matches(COMPARISONS, share) for _ in range(rounds))
+        seen = Counter(topk._draw_matches(COMPARISONS, share) for _ in range(rounds))
         for matches in range(COMPARISONS + 1):
-            law = math.comb(COMPARISONS, matches) * share**matches * (1 - share) ** (COMPARISONS - matches)
-            error = 5 * math.sqrt(law * (1 - law) / rounds) + 1 / rounds
-            assert abs(seen[matches] / rounds - law) < error
-    assert topk._matches(7, 1.0) == 7
+            expected = (
+                math.comb(COMPARISONS, matches) * share**matches * (1 - share) ** (COMPARISONS - matches)
+            )
+            error = 5 * math.sqrt(expected * (1 - expected) / rounds) + 1 / rounds
+            assert abs(seen[matches] / rounds - expected) < error
+    assert topk._draw_matches(7, 1.0) == 7
 
 
-def test_threshold_compares_with_its_own_past_and_has_hysteresis() -> None:
-    threshold = Threshold()
+def test_threshold_follows_the_load_history_with_hysteresis() -> None:
+    threshold = LoadThreshold()
     assert not any(threshold.sample(10) for _ in range(40))
     assert [threshold.sample(30) for _ in range(4)][-1]
     assert threshold.sample(14)
     assert not [threshold.sample(10) for _ in range(6)][-1]
 
 
-def test_no_threshold_without_a_past() -> None:
-    assert not any(Threshold().sample(500) for _ in range(30))
+def test_no_threshold_without_history() -> None:
+    assert not any(LoadThreshold().sample(500) for _ in range(30))
 
 
 def drive(
@@ -187,7 +192,7 @@
     gap: float = 5.0,
     first_id: int = 0,
 ) -> Counter[int]:
-    """Requests at a steady rate, answered at once; returns where those for the hot key went."""
+    """Sends requests at a steady rate, answered at once; returns the nodes that got those for the hot key."""
     seen: Counter[int] = Counter()
     next_sample = start
     for i in range(count):
@@ -195,16 +200,16 @@
         if now >= next_sample:
             balancer.handle(now, Timer("sample"))
             next_sample = now + 250
-        k = "00000000000000aa" if rng.random() < share else make_key(rng.randrange(10**9))
-        send = sends(balancer.handle(now, make_request(first_id + i, now, key=k)))[0]
-        if k == "00000000000000aa":
+        key = "00000000000000aa" if rng.random() < share else make_key(rng.randrange(10**9))
+        send = sends(balancer.handle(now, make_request(first_id + i, now, key=key)))[0]
+        if key == "00000000000000aa":
             seen[send.node] += 1
         balancer.handle(now, ok(send))
     return seen
 
 
-def test_a_key_that_swamps_its_home_below_every_threshold_is_spread() -> None:
-    """Guards against a hot key that no instance's own load betrays."""
+def test_a_key_that_overloads_its_home_is_spread_below_the_load_threshold() -> None:
+    """Guards against a hot key that does not show in the load of any single instance."""
     balancer = make_balancer(20)
     seen = drive(balancer, random.Random(4), 0, 400, 0.02)
     assert len(seen) == 1 and not balancer.hot_keys.factoring
@@ -219,14 +224,14 @@
     drive(balancer, random.Random(5), 0, 2000, 0.3)
     assert balancer.hot_keys.factoring
     for i in range(50):
-        k = make_key(10**10 + i)
-        send = sends(balancer.handle(20000, make_request(10**6 + i, 20000, key=k)))[0]
-        assert send.node == balancer.fleet.order(k)[0].id
+        key = make_key(10**10 + i)
+        send = sends(balancer.handle(20000, make_request(10**6 + i, 20000, key=key)))[0]
+        assert send.node == balancer.fleet.order(key)[0].id
         balancer.handle(20000, ok(send))
 
 
-def test_the_spread_widens_step_by_step_over_warm_servers_only() -> None:
-    """Guards against all instances switching at once onto cold servers and the origin."""
+def test_the_spread_widens_stepwise_over_warm_nodes_only() -> None:
+    """Guards against all instances switching at once to cold nodes and the origin."""
     balancer = make_balancer(20)
     cold = [Member(10**6 + i, ready_at_ms=1.0) for i in range(10)]
     balancer.handle(1, Membership(ListKind.DELTA, tuple(cold)))
@@ -241,7 +246,7 @@
     assert 1 < spread <= 12
 
 
-def test_high_own_load_spreads_every_hot_key() -> None:
+def test_high_load_spreads_every_hot_key() -> None:
     balancer = make_balancer(4)
     drive(balancer, random.Random(5), 0, 1500, 0.1, gap=5)
     assert not balancer.hot_keys.factoring
@@ -249,14 +254,14 @@
         balancer.handle(7500, make_request(10**6 + i, 7500))
     for i in range(4):
         balancer.handle(7750 + 250 * i, Timer("sample"))
-    assert balancer.hot_keys.factoring and balancer.hot_keys.spread["00000000000000aa"][0] >= LOAD_SPREAD
+    assert balancer.hot_keys.factoring and balancer.hot_keys.spread["00000000000000aa"][0] >= HIGH_LOAD_SPREAD
 
 
-def test_a_server_far_over_its_part_is_skipped() -> None:
+def test_a_node_far_above_its_share_is_skipped() -> None:
     balancer = make_balancer(8)
-    k = make_key(1)
-    first, second = (n.id for n in balancer.fleet.order(k)[:2])
-    nodes = [sends(balancer.handle(0, make_request(i, 0, key=k)))[0].node for i in range(40)]
+    key = make_key(1)
+    first, second = (n.id for n in balancer.fleet.order(key)[:2])
+    nodes = [sends(balancer.handle(0, make_request(i, 0, key=key)))[0].node for i in range(40)]
     assert nodes[0] == first
     assert second in nodes
     assert Counter(nodes)[first] < 40
@@ -277,30 +282,30 @@
     assert balancer.fleet.kinds.weights["x"] > 2 * balancer.fleet.kinds.weights["y"]
 
 
-def test_second_copies_cost_one_timer_however_late_it_comes() -> None:
+def test_hedges_need_one_timer_however_late_it_fires() -> None:
     balancer = make_balancer(4)
     due: list[float] = []
-    asked = 0
+    timer_count = 0
     for number in range(1, 2_000):
         now = float(number)
         actions = balancer.handle(now, make_request(number, now))
         if number > 3:
             balancer.handle(now, ok(sends(actions)[0])) if number % 2 else None
         timers = [a.at for a in actions if isinstance(a, SetTimer)]
-        asked += len(timers)
+        timer_count += len(timers)
         due += timers
-        if number % 50 == 0:  # the caller is late: all that came due meanwhile come at once
-            late, due = [t for t in due if t <= now], [t for t in due if t > now]
-            for _ in late:
+        if number % 50 == 0:  # the timers fire late, all at once
+            fired, due = [t for t in due if t <= now], [t for t in due if t > now]
+            for _ in fired:
                 again = [a.at for a in balancer.handle(now, Timer("second")) if isinstance(a, SetTimer)]
-                asked += len(again)
+                timer_count += len(again)
                 due += again
-    assert 0 < asked < 200
+    assert 0 < timer_count < 200
     assert len(due) < 10
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 48, 49, 130, 1_000])
-def test_the_order_is_that_of_scores_reckoned_one_by_one(count: int) -> None:
+def test_the_order_equals_that_of_individual_scores(count: int) -> None:
     rng = random.Random(count)
     sizes = (1.0, 1.0, 2.0, 16.0, 0.01)
     fleet = Fleet(make_settings())
@@ -309,39 +314,40 @@
     for number in range(2_000 // count + 20):
         name = f"{rng.randrange(2**64):x}" if number % 3 else f"canteen/{number}"
         hexadecimal = all(c in "0123456789abcdef" for c in name)
-        point = mixed(int(name, 16) if hexadecimal else mixed(name))
+        key_hash = hash64(int(name, 16) if hexadecimal else hash64(name))
         scored = []
         for node in fleet.ready:
-            x = ((point ^ node.salt) * 0x9E3779B97F4A7C15) & MASK
-            x = ((x ^ (x >> 32)) * 0xD6E8FEB86659FD93) & MASK
+            x = ((key_hash ^ node.salt) * 0x9E3779B97F4A7C15) & MASK64
+            x = ((x ^ (x >> 32)) * 0xD6E8FEB86659FD93) & MASK64
             scored.append((-math.log(((x >> 11) + 1) * 2.0**-53) / node.weight, node.id))
         order = [node for _, node in sorted(scored)]
-        assert [n.id for n in fleet.ordered.ranked(name, count)] == order
-        assert [n.id for n in fleet.ordered.ranked(name, PLACES)] == order[:PLACES]
-    if fleet.ordered.cuts:  # where too few stay under the cut, all are scored
-        fleet.ordered.cuts = [MASK] * count
-        assert [n.id for n in fleet.ordered.ranked(name, PLACES)] == order[:PLACES]
+        assert [n.id for n in fleet.rendezvous.rank(name, count)] == order
+        assert [n.id for n in fleet.rendezvous.rank(name, HEAD_PLACES)] == order[:HEAD_PLACES]
+    if fleet.rendezvous.hash_cutoffs:  # if too few nodes remain below the cutoff, all are scored
+        fleet.rendezvous.hash_cutoffs = [MASK64] * count
+        assert [n.id for n in fleet.rendezvous.rank(name, HEAD_PLACES)] == order[:HEAD_PLACES]
 
 
-def test_a_write_goes_to_the_least_busy_of_its_keys_places() -> None:
-    """No copy serves a write, at its home or elsewhere: a queue at the home need not delay it."""
+def test_a_write_goes_to_the_least_loaded_place_of_its_key() -> None:
+    """No cached copy serves a write, so a queue at the home need not delay it."""
     balancer = make_balancer(8)
-    k = make_key(5)
-    order = [n.id for n in balancer.fleet.order(k)]
-    first = [sends(balancer.handle(0, make_request(i, 0, "once", k, write=True)))[0].node for i in range(6)]
-    assert first == order, "each has one in turn, the home first"
-    reads = [sends(balancer.handle(1, make_request(10 + i, 1, "read", k)))[0].node for i in range(2)]
+    key = make_key(5)
+    order = [n.id for n in balancer.fleet.order(key)]
+    first = [sends(balancer.handle(0, make_request(i, 0, "once", key, write=True)))[0].node for i in range(6)]
+    assert first == order, "each place gets one, the home first"
+    reads = [sends(balancer.handle(1, make_request(10 + i, 1, "read", key)))[0].node for i in range(2)]
     assert reads == order[:1] * 2, "a read still goes to its home"
 
 
-def jammed_share(balancers: int, latency: float) -> float:
-    """The share of a key's requests that still go home, where home answers so late, the others in 10 ms."""
+def home_share(balancers: int, latency: float) -> float:
+    """Returns the share of a key's requests that go to its home, which answers with the given latency; all
+    others answer in 10 ms."""
     balancer = make_balancer(12, balancers=balancers)
-    k, at_home = make_key(3), 0
-    home = balancer.fleet.order(k)[0].id
+    key, at_home = make_key(3), 0
+    home = balancer.fleet.order(key)[0].id
     for i in range(200):
-        now = 300.0 * i  # a trickle: never more than one in flight
-        (send,) = sends(balancer.handle(now, make_request(i, now, key=k)))
+        now = 300.0 * i  # low traffic: never more than one in flight
+        (send,) = sends(balancer.handle(now, make_request(i, now, key=key)))
         at_home += send.node == home
         balancer.handle(now, ok(send, latency=latency if send.node == home else 10.0))
         balancer.handle(now, make_request(1000 + i, now, key=make_key(50 + i)))
@@ -351,41 +357,42 @@
     return at_home / 200
 
 
-def test_the_load_bound_holds_for_what_many_balancers_have_in_flight_together() -> None:
-    """Guards against a home that all balancers load beyond its due, none with more than one request there."""
-    assert jammed_share(40, 15.0) == 1.0, "a little over its due is within the bound"
-    assert 0.05 < jammed_share(40, 100.0) < 0.6
-    assert jammed_share(300, 100.0) < 0.6
-    assert jammed_share(3, 100.0) == 1.0, "few balancers see it in their own counts"
+def test_the_load_bound_holds_over_many_instances() -> None:
+    """Guards against a home that all instances together overload, each with at most one request in flight
+    there."""
+    assert home_share(40, 15.0) == 1.0, "slightly above its share is within the bound"
+    assert 0.05 < home_share(40, 100.0) < 0.6
+    assert home_share(300, 100.0) < 0.6
+    assert home_share(3, 100.0) == 1.0, "few instances see it in their own counts"
 
 
-def test_a_request_that_waits_long_shows_a_crowd_before_it_is_answered() -> None:
-    """Guards against learning of a jam only when its first requests run out of time."""
+def test_a_long_wait_reveals_overload_before_the_answer() -> None:
+    """Guards against noticing overload only when the first requests time out."""
     balancer = make_balancer(12, balancers=40)
-    fleet, k = balancer.fleet, make_key(3)
+    fleet, key = balancer.fleet, make_key(3)
     for i in range(10):
         (send,) = sends(balancer.handle(0, make_request(i, 0, key=make_key(60 + i))))
         balancer.handle(10, ok(send))
-    (send,) = sends(balancer.handle(20, make_request(20, 20, key=k)))
+    (send,) = sends(balancer.handle(20, make_request(20, 20, key=key)))
     home = fleet.nodes[send.node]
     assert not fleet.crowded(home, 30, 0.99) and fleet.crowded(home, 120, 0.99)
     assert fleet.slowness(home, 120) > 5
     balancer.handle(125, Outcome(20, 0, send.node, Status.TIMEOUT, 105, True))
     assert not home.outstanding and fleet.crowded(home, 130, 0.99)
-    assert not fleet.crowded(home, 30_000, 0.99), "who is left alone is tried again"
+    assert not fleet.crowded(home, 30_000, 0.99), "a node without requests is retried"
 
 
-def test_a_write_goes_past_the_largest_of_its_places_where_that_answers_late() -> None:
-    """Guards against many balancers, none with a request in flight, that all write to one slow server."""
+def test_a_write_avoids_the_largest_place_if_it_is_slow() -> None:
+    """Guards against many instances that all write to one slow node, none with a request in flight there."""
     for balancers, moves in ((40, True), (3, False)):
         balancer = make_balancer(12, balancers=balancers)
-        fleet, k = balancer.fleet, make_key(3)
-        places = fleet.order(k)
+        fleet, key = balancer.fleet, make_key(3)
+        places = fleet.order(key)
         best = places[0]
         best.weight *= 1.5
         fleet.class_latency_ms["once"] = 10.0
         for i in range(3):
-            (send,) = sends(balancer.handle(10 * i, make_request(i, 10 * i, "once", k, write=True)))
+            (send,) = sends(balancer.handle(10 * i, make_request(i, 10 * i, "once", key, write=True)))
             balancer.handle(10 * i + 1, ok(send, latency=200.0 if send.node == best.id else 10.0))
-        (last,) = sends(balancer.handle(40, make_request(9, 40, "once", k, write=True)))
+        (last,) = sends(balancer.handle(40, make_request(9, 40, "once", key, write=True)))
         assert (last.node != best.id) is moves and last.node in {n.id for n in places}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, as properties over generated sequences of events, and single cases."""
+"""The rules for repeating requests and for nodes, as properties of generated events and as single cases."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     Watch,
 )
 from notchflow.policy.balancer import Balancer
-from notchflow.policy.health import healthy
-from notchflow.policy.nodes import TOLERANCE
+from notchflow.policy.health import is_healthy
+from notchflow.policy.nodes import ACCEPTS_MULTIPLIER
 from tests.helpers import (
     CLASSES,
     RULES,
@@ -47,7 +47,7 @@
 
 
 class Referee:
-    """Plays a world around one balancer and holds it to the rules."""
+    """Simulates clients and nodes around one balancer and asserts the rules on every action."""
 
     def __init__(self, seed: int, **changes: Any) -> None:
         self.rng = random.Random(seed)
@@ -56,15 +56,15 @@
         self.members = {m.node: m for m in make_fleet(self.rng.randrange(0, 9))}
         self.now = 0.0
         self.open: dict[int, tuple[RequestClass, float]] = {}
-        self.out: dict[tuple[int, int], tuple[int, float]] = {}
+        self.outstanding: dict[tuple[int, int], tuple[int, float]] = {}
         self.ran: dict[int, list[tuple[Member, float]]] = {}
         self.count: dict[int, int] = {}
         self.timers: list[tuple[float, str]] = []
         self.number = 0
         self.answered: set[int] = set()
-        self.give(Membership(ListKind.CACHED, tuple(self.members.values())))
+        self.handle(Membership(ListKind.CACHED, tuple(self.members.values())))
 
-    def give(self, event: Any) -> None:
+    def handle(self, event: Any) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
                 case Send(request, node, _):
@@ -74,7 +74,7 @@
                     member = self.members[node]
                     assert member.state is State.READY
                     earlier = self.ran[request] + [
-                        (self.members[n], t) for (r, _), (n, t) in self.out.items() if r == request
+                        (self.members[n], t) for (r, _), (n, t) in self.outstanding.items() if r == request
                     ]
                     assert not (earlier and cls.effect is Effect.UNSAFE)
                     if earlier and cls.effect is Effect.KEYED:
@@ -83,11 +83,11 @@
                             assert cls.group is Group.ALL or other.zone == member.zone
                             assert cls.group is not Group.CELL or other.cell == member.cell
                     if not self.settings.limits.second_copies:
-                        assert not any(r == request for r, _ in self.out)
-                    self.out[request, attempt] = node, self.now
+                        assert not any(r == request for r, _ in self.outstanding)
+                    self.outstanding[request, attempt] = node, self.now
                 case Refuse(request):
                     cls, _ = self.open[request]
-                    earlier_runs = bool(self.ran[request]) or any(r == request for r, _ in self.out)
+                    earlier_runs = bool(self.ran[request]) or any(r == request for r, _ in self.outstanding)
                     if earlier_runs:
                         assert cls.effect is Effect.SAFE or (
                             cls.effect is Effect.KEYED and cls.group is Group.ALL
@@ -103,26 +103,26 @@
         self.answered.add(request)
         del self.open[request]
 
-    def request(self) -> None:
+    def send_request(self) -> None:
         cls = self.rng.choice(CLASSES)
         self.number += 1
-        k = self.rng.choice([None, make_key(self.rng.randrange(6))])
-        event = make_request(self.number, self.now, cls.name, k, write=self.rng.random() < 0.2)
+        key = self.rng.choice([None, make_key(self.rng.randrange(6))])
+        event = make_request(self.number, self.now, cls.name, key, write=self.rng.random() < 0.2)
         self.open[self.number] = cls, event.deadline
         self.ran[self.number], self.count[self.number] = [], 0
-        self.give(event)
+        self.handle(event)
 
-    def outcome(self, which: tuple[int, int], status: Status) -> None:
-        node, sent = self.out.pop(which)
-        request, attempt = which
+    def end_attempt(self, attempt_id: tuple[int, int], status: Status) -> None:
+        node, sent = self.outstanding.pop(attempt_id)
+        request, attempt = attempt_id
         if not status.never_ran:
             self.ran[request].append((self.members[node], sent))
         closed = request not in self.open or status is Status.OK
         if status is Status.OK and request in self.open:
             self.close(request)
-        self.give(Outcome(request, attempt, node, status, self.now - sent, closed))
+        self.handle(Outcome(request, attempt, node, status, self.now - sent, closed))
 
-    def change(self) -> None:
+    def change_member(self) -> None:
         if not self.members or self.rng.random() < 0.3:
             node = self.rng.randrange(1, 2**32)
             changed = Member(node, zone="ab"[node % 2], cell=node % 4, ready_at_ms=self.now)
@@ -133,40 +133,40 @@
         self.members[node] = changed
         if self.rng.random() < 0.3:
             known = [m for m in self.members.values() if m.state is not State.GONE]
-            self.give(Membership(ListKind.FULL, tuple(known)))
+            self.handle(Membership(ListKind.FULL, tuple(known)))
         else:
-            self.give(Membership(ListKind.DELTA, (changed,)))
+            self.handle(Membership(ListKind.DELTA, (changed,)))
 
     def step(self, statuses: list[Status]) -> None:
         draw = self.rng.random()
         if draw < 0.45:
-            self.request()
-        elif draw < 0.85 and self.out:
-            self.outcome(self.rng.choice(sorted(self.out)), self.rng.choice(statuses))
+            self.send_request()
+        elif draw < 0.85 and self.outstanding:
+            self.end_attempt(self.rng.choice(sorted(self.outstanding)), self.rng.choice(statuses))
         elif draw < 0.9:
-            self.change()
+            self.change_member()
         elif draw < 0.93:
-            self.give(Timer(self.rng.choice(["sample", "watch", "unknown"])))
+            self.handle(Timer(self.rng.choice(["sample", "watch", "unknown"])))
         elif draw < 0.96 and self.open:
             gone = self.rng.choice(sorted(self.open))
             self.close(gone)
-            self.give(ClientGone(gone))
+            self.handle(ClientGone(gone))
         else:
-            self.give(Membership(ListKind.FAILED))
+            self.handle(Membership(ListKind.FAILED))
         self.now += self.rng.random() * 60
-        for which in sorted(self.out):
-            request = which[0]
+        for attempt_id in sorted(self.outstanding):
+            request = attempt_id[0]
             if request in self.open and self.now >= self.open[request][1]:
-                self.outcome(which, Status.TIMEOUT)
+                self.end_attempt(attempt_id, Status.TIMEOUT)
         for request, (_, deadline) in self.open.items():
-            assert self.now < deadline + 60 or any(r == request for r, _ in self.out)
+            assert self.now < deadline + 60 or any(r == request for r, _ in self.outstanding)
 
     def finish(self) -> None:
-        for which in sorted(self.out):
-            if which in self.out:
-                self.outcome(which, Status.TIMEOUT)
-        while self.out:
-            self.outcome(sorted(self.out)[0], Status.TIMEOUT)
+        for attempt_id in sorted(self.outstanding):
+            if attempt_id in self.outstanding:
+                self.end_attempt(attempt_id, Status.TIMEOUT)
+        while self.outstanding:
+            self.end_attempt(sorted(self.outstanding)[0], Status.TIMEOUT)
         assert not self.open
         assert not self.balancer.pending
 
@@ -192,49 +192,49 @@
     referee.finish()
 
 
-def test_empty_fleet_refuses_at_once() -> None:
+def test_an_empty_fleet_rejects_at_once() -> None:
     assert make_balancer(0).handle(1, make_request(1, 1, "once")) == [Refuse(1)]
 
 
-def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+def test_an_unsafe_request_that_may_have_run_fails_without_a_retry() -> None:
     balancer = make_balancer()
     send = sends(balancer.handle(0, make_request(1, 0, "once")))[0]
     assert balancer.handle(50, Outcome(1, 0, send.node, Status.ERROR, 50)) == [Fail(1)]
 
 
-def test_unsafe_request_that_never_ran_goes_to_the_next_server() -> None:
+def test_an_unsafe_request_that_never_ran_goes_to_another_node() -> None:
     balancer = make_balancer()
     send = sends(balancer.handle(0, make_request(1, 0, "once")))[0]
     again = sends(balancer.handle(5, Outcome(1, 0, send.node, Status.FULL, 5)))
     assert len(again) == 1 and again[0].node != send.node
 
 
-def test_keyed_request_is_not_repeated_after_its_window() -> None:
+def test_a_keyed_request_is_not_repeated_after_its_window() -> None:
     balancer = make_balancer()
     send = sends(balancer.handle(0, make_request(1, 0, "keyed")))[0]
     assert balancer.handle(500, Outcome(1, 0, send.node, Status.ERROR, 500)) == [Refuse(1)]
 
 
-def test_a_draining_server_gets_nothing_new() -> None:
+def test_a_draining_node_gets_no_new_requests() -> None:
     balancer = make_balancer()
-    k = make_key(3)
-    home = balancer.fleet.order(k)[0]
+    key = make_key(3)
+    home = balancer.fleet.order(key)[0]
     balancer.handle(1, Membership(ListKind.DELTA, (Member(home.id, State.DRAINING),)))
     for i in range(50):
-        assert sends(balancer.handle(2, make_request(i, 2, key=k)))[0].node != home.id
+        assert sends(balancer.handle(2, make_request(i, 2, key=key)))[0].node != home.id
 
 
-def test_a_burst_does_not_spend_a_cold_servers_budget() -> None:
-    """Guards against a short burst of one cold server's keys right after its start."""
+def test_a_burst_does_not_exceed_the_budget_of_a_cold_node() -> None:
+    """Guards against a short burst of requests for the keys of a node that has just started."""
     balancer = make_balancer(4)
     balancer.handle(1, Membership(ListKind.DELTA, (Member(5, ready_at_ms=1.0),)))
-    k = next(make_key(i) for i in range(5000) if balancer.fleet.order(make_key(i))[0].id == 5)
-    nodes = [sends(balancer.handle(2, make_request(i, 2, key=k)))[0].node for i in range(50)]
+    key = next(make_key(i) for i in range(5000) if balancer.fleet.order(make_key(i))[0].id == 5)
+    nodes = [sends(balancer.handle(2, make_request(i, 2, key=key)))[0].node for i in range(50)]
     assert 1 <= nodes.count(5) <= 3
 
 
-def test_a_cold_server_is_not_pushed_over_for_want_of_another() -> None:
-    """Guards against a last resort that takes whatever is ready: all others drain, and a burst comes."""
+def test_a_cold_node_is_not_overloaded_if_there_is_no_other() -> None:
+    """Guards against a fallback to any ready node: all other nodes drain, and a burst arrives."""
     balancer = make_balancer(4)
     cold = Member(5, ready_at_ms=1.0)
     others = tuple(Member(n, State.DRAINING) for n in balancer.fleet.nodes)
@@ -244,90 +244,90 @@
     assert sum(isinstance(a, Refuse) for a in actions) == 50 - len(sends(actions))
 
 
-def test_a_silent_server_is_ejected_tried_again_and_restored() -> None:
+def test_an_unresponsive_node_is_ejected_retried_and_restored() -> None:
     balancer = make_balancer(12)
-    k = make_key(3)
-    home = balancer.fleet.order(k)[0].id
+    key = make_key(3)
+    home = balancer.fleet.order(key)[0].id
     for i in range(2):
-        balancer.handle(i, make_request(i, i, key=k))
+        balancer.handle(i, make_request(i, i, key=key))
     for i in range(2):
         balancer.handle(900 + i, Outcome(i, 0, home, Status.TIMEOUT, 900))
-    assert sends(balancer.handle(1000, make_request(5, 1000, key=k)))[0].node != home
-    trial = sends(balancer.handle(2500, make_request(6, 2500, key=k)))[0]
+    assert sends(balancer.handle(1000, make_request(5, 1000, key=key)))[0].node != home
+    trial = sends(balancer.handle(2500, make_request(6, 2500, key=key)))[0]
     assert trial.node == home and trial.timeout_ms is not None and trial.timeout_ms < 900
-    assert sends(balancer.handle(2500, make_request(7, 2500, key=k)))[0].node != home
+    assert sends(balancer.handle(2500, make_request(7, 2500, key=key)))[0].node != home
     balancer.handle(2510, ok(trial))
-    assert sends(balancer.handle(2600, make_request(8, 2600, key=k)))[0].node == home
+    assert sends(balancer.handle(2600, make_request(8, 2600, key=key)))[0].node == home
 
 
-def test_a_server_that_hangs_on_one_class_is_left_by_that_class_and_tried_again() -> None:
-    """Guards against a server whose answers to other classes hide that it never answers this one."""
+def test_a_node_that_hangs_on_one_class_is_ejected_for_that_class_and_retried() -> None:
+    """Guards against a node whose answers to other classes hide that it never answers this one."""
     balancer = make_balancer(12)
-    k = make_key(3)
-    home = balancer.fleet.order(k)[0].id
+    key = make_key(3)
+    home = balancer.fleet.order(key)[0].id
     elsewhere = [n for n in range(200) if balancer.fleet.order(make_key(n))[0].id != home][:60]
-    for n in elsewhere:  # much is in flight, so that what hangs at the home is not yet over its bound
+    for n in elsewhere:  # load elsewhere, so that the hanging requests do not exceed the home's load bound
         balancer.handle(0, make_request(1_000 + n, 0, key=make_key(n)))
     for i in range(5):
-        balancer.handle(100 * i, make_request(3 * i, 100 * i, key=k))
-        other = sends(balancer.handle(100 * i + 1, make_request(3 * i + 1, 100 * i + 1, "once", k)))[0]
+        balancer.handle(100 * i, make_request(3 * i, 100 * i, key=key))
+        other = sends(balancer.handle(100 * i + 1, make_request(3 * i + 1, 100 * i + 1, "once", key)))[0]
         assert other.node == home
         balancer.handle(100 * i + 11, ok(other))
-    last = sends(balancer.handle(880, make_request(50, 880, "once", k)))[0]
+    last = sends(balancer.handle(880, make_request(50, 880, "once", key)))[0]
     balancer.handle(890, ok(last))
     for i in range(5):
         balancer.handle(900 + 100 * i, Outcome(3 * i, 0, home, Status.TIMEOUT, 900))
-    balancer.throttle.asked = 0.0
+    balancer.throttle.requests = 0.0
     read, paid = [
-        sends(balancer.handle(1_400, make_request(20 + i, 1_400, c, k)))[0]
+        sends(balancer.handle(1_400, make_request(20 + i, 1_400, c, key)))[0]
         for i, c in enumerate(("read", "once"))
     ]
     assert read.node != home and paid.node == home
-    trial = sends(balancer.handle(2_400, make_request(30, 2_400, key=k)))[0]
+    trial = sends(balancer.handle(2_400, make_request(30, 2_400, key=key)))[0]
     assert trial.node == home and trial.timeout_ms is not None
     assert (
-        sends(balancer.handle(2_401, make_request(31, 2_401, key=k)))[0].node != home
+        sends(balancer.handle(2_401, make_request(31, 2_401, key=key)))[0].node != home
     ), "one trial at a time"
     balancer.handle(2_410, ok(trial))
-    assert sends(balancer.handle(2_420, make_request(32, 2_420, key=k)))[0].node == home
+    assert sends(balancer.handle(2_420, make_request(32, 2_420, key=key)))[0].node == home
 
 
-def test_a_server_that_errs_on_most_of_one_class_is_left_by_that_class() -> None:
-    """Guards against a server that keeps a class because it answers a sixth of it, and all others."""
+def test_a_node_that_fails_most_requests_of_one_class_is_ejected_for_that_class() -> None:
+    """Guards against a node that keeps a class because it answers a sixth of its requests, and all others."""
     balancer = make_balancer(12)
-    k = make_key(3)
-    home = balancer.fleet.order(k)[0].id
+    key = make_key(3)
+    home = balancer.fleet.order(key)[0].id
     homed = {"read": 0, "once": 0}
     for i in range(120):
         now = 20.0 * i
-        balancer.throttle.asked = balancer.throttle.good = 0.0
+        balancer.throttle.requests = balancer.throttle.accepts = 0.0
         for number, cls in ((2 * i, "read"), (2 * i + 1, "once")):
-            out = sends(balancer.handle(now, make_request(number, now, cls, k)))
+            sent = sends(balancer.handle(now, make_request(number, now, cls, key)))
             attempt = 0
-            while out:
-                homed[cls] += out[0].node == home
-                if cls == "read" and out[0].node == home and i % 6:
+            while sent:
+                homed[cls] += sent[0].node == home
+                if cls == "read" and sent[0].node == home and i % 6:
                     ended = Outcome(number, attempt, home, Status.ERROR, 4)
                 else:
-                    ended = ok(out[0], attempt)
-                out, attempt = sends(balancer.handle(now, ended)), attempt + 1
+                    ended = ok(sent[0], attempt)
+                sent, attempt = sends(balancer.handle(now, ended)), attempt + 1
     assert homed["once"] == 120 and homed["read"] < 30
 
 
-def test_a_few_errors_and_slow_answers_cost_a_server_nothing() -> None:
+def test_a_few_errors_do_not_eject_a_class() -> None:
     balancer, rng = make_balancer(12), random.Random(3)
     for i in range(3_000):
         now, status = 5.0 * i, rng.choices([Status.OK, Status.ERROR, Status.RESET], [90, 5, 5])[0]
-        balancer.throttle.asked = balancer.throttle.good = 0.0
+        balancer.throttle.requests = balancer.throttle.accepts = 0.0
         (send,) = sends(balancer.handle(now, make_request(i, now)))
         again = sends(balancer.handle(now, Outcome(i, 0, send.node, status, 10, status is Status.OK)))
-        for further in again:
-            balancer.handle(now, ok(further, 1))
-        assert not any(m.until for n in balancer.fleet.ready for m in n.mutes.values())
+        for retry in again:
+            balancer.handle(now, ok(retry, 1))
+        assert not any(m.ejected_until for n in balancer.fleet.ready for m in n.class_health.values())
 
 
-def test_a_slow_fleet_is_not_ejected_whole() -> None:
-    """Guards against taking trouble behind all servers (a slow origin) for dead servers."""
+def test_a_slow_fleet_is_not_ejected_as_a_whole() -> None:
+    """Guards against treating nodes as dead when the cause lies behind all of them, such as a slow origin."""
     balancer = make_balancer(12)
     for i in range(200):
         for send in sends(balancer.handle(i, make_request(i, i))):
@@ -336,46 +336,46 @@
     assert 1 <= ejected <= 5
 
 
-def test_retry_budget_bounds_further_attempts() -> None:
+def test_the_retry_budget_limits_retries() -> None:
     """Guards against retries that multiply the load of a fleet in trouble."""
     balancer = make_balancer(12)
-    further = 0
+    retries = 0
     for i in range(300):
-        balancer.throttle.asked = balancer.throttle.good = 0.0
+        balancer.throttle.requests = balancer.throttle.accepts = 0.0
         send = sends(balancer.handle(i, make_request(i, i)))[0]
         again = sends(balancer.handle(i, Outcome(i, 0, send.node, Status.ERROR, 1)))
         for send in again:
             balancer.handle(i, ok(send, 1))
-        further += len(again)
-    assert 20 <= further <= 45
+        retries += len(again)
+    assert 20 <= retries <= 45
 
 
-def test_what_never_ran_is_tried_elsewhere_without_spending_the_retry_budget() -> None:
-    """Guards against refusing the requests of one full server while the others have room."""
+def test_attempts_that_never_ran_are_retried_without_spending_the_budget() -> None:
+    """Guards against rejecting the requests of one full node while others have capacity."""
     balancer = make_balancer(12)
     for i in range(100):
-        balancer.throttle.asked = balancer.throttle.good = 0.0
+        balancer.throttle.requests = balancer.throttle.accepts = 0.0
         send = sends(balancer.handle(i, make_request(i, i, "once")))[0]
         (again,) = sends(balancer.handle(i, Outcome(i, 0, send.node, Status.FULL, 1)))
         assert again.node != send.node
         balancer.handle(i, ok(again, 1))
-    assert balancer.budgets.retries >= 1
+    assert balancer.budgets.retry_tokens >= 1
 
 
-def test_in_a_jam_a_read_that_may_have_run_is_not_tried_elsewhere() -> None:
-    """Guards against doing the work of late reads twice, with a fetch at the second place on top: that kept a
-    fleet jammed with three in four requests refused."""
+def test_a_read_that_may_have_run_is_not_retried_under_pressure() -> None:
+    """Guards against retries of late reads, which double the work and add a fetch at the second node. They
+    kept a fleet overloaded with three in four requests rejected."""
     balancer = make_balancer(12)
     first = [sends(balancer.handle(0, make_request(i, 0)))[0] for i in range(3)]
-    balancer.throttle.asked = 50.0
+    balancer.throttle.requests = 50.0
     assert sends(balancer.handle(5, Outcome(0, 0, first[0].node, Status.ERROR, 5))) == []
     assert len(sends(balancer.handle(5, Outcome(1, 0, first[1].node, Status.FULL, 5)))) == 1
-    balancer.throttle.asked = 0.0
+    balancer.throttle.requests = 0.0
     assert len(sends(balancer.handle(5, Outcome(2, 0, first[2].node, Status.ERROR, 5)))) == 1
 
 
-def test_weights_of_kinds_do_not_wander_by_chance_at_a_trickle() -> None:
-    """Guards against homes that drift apart between instances that each see few answers."""
+def test_weights_of_kinds_do_not_drift_by_chance_at_low_traffic() -> None:
+    """Guards against different homes in instances that each see few answers."""
     rng = random.Random(8)
     balancer = make_balancer(0)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Member(i, kind="xy"[i % 2]) for i in range(20))))
@@ -393,11 +393,11 @@
     assert moves <= 3
 
 
-def test_overload_is_held_back_and_released_when_answers_are_in_time_again() -> None:
-    """Guards against the collapse in which every queue is full and every answer is late."""
+def test_overload_is_shed_until_answers_are_in_time_again() -> None:
+    """Guards against congestion collapse, in which every queue is full and every answer late."""
     balancer = make_balancer(12)
 
-    def second(start: int, latency: float) -> int:
+    def play_second(start: int, latency: float) -> int:
         sent = 0
         for i in range(200):
             now = start + i * 5.0
@@ -408,20 +408,21 @@
                 balancer.handle(now, ok(send, latency=latency))
         return sent
 
-    assert second(0, 50.0) == 200
+    assert play_second(0, 50.0) == 200
     for start in range(10_000, 13_000, 1_000):
-        late = second(start, 800.0)
+        late = play_second(start, 800.0)
     assert late < 100
     for start in range(20_000, 50_000, 1_000):
-        recovered = second(start, 50.0)
+        recovered = play_second(start, 50.0)
     assert recovered == 200
 
 
-def test_no_more_is_shed_than_the_pressure_asks_for() -> None:
-    """Guards against classes of unequal worth adding up to more than the pressure: nothing recovered then."""
+def test_no_more_is_shed_than_the_pressure_requires() -> None:
+    """Guards against classes of unequal worth that together shed more than the pressure, which prevents
+    recovery."""
     classes = (RequestClass("dear", 300, 1000, worth=9), RequestClass("cheap", 300, 1000, worth=1))
     balancer = make_balancer(12, classes=classes)
-    balancer.throttle.asked, balancer.throttle.good = 1e9, 0.5e9 / TOLERANCE
+    balancer.throttle.requests, balancer.throttle.accepts = 1e9, 0.5e9 / ACCEPTS_MULTIPLIER
     sent = {c.name: 0 for c in classes}
     for i in range(4000):
         name = classes[i % 2].name
@@ -430,12 +431,13 @@
             balancer.handle(0, ok(send))
     assert sent["dear"] > 1.5 * sent["cheap"] > 0
     assert 1900 <= sum(sent.values()) <= 2600
-    balancer.throttle.good = 0.01e9
+    balancer.throttle.accepts = 0.01e9
     assert sum(len(sends(balancer.handle(0, make_request(i, 0, "dear")))) for i in range(5000, 6000)) < 150
 
 
-def test_queues_as_long_as_the_longest_aim_already_count_as_overload() -> None:
-    """Guards against answers just within a long aim, while the dearest classes have a shorter one."""
+def test_answers_just_within_the_longest_aim_count_as_pressure() -> None:
+    """Guards against queues that a long aim tolerates, although the most valuable classes have a shorter
+    one."""
     balancer = make_balancer(12)
     for i in range(100):
         send = sends(balancer.handle(i, make_request(i, i)))
@@ -444,8 +446,8 @@
     assert balancer.throttle.pressure() > 0.5
 
 
-def test_a_server_that_only_turns_away_does_not_look_fast() -> None:
-    """Guards against sending ever more to a kind whose full queues refuse at once."""
+def test_a_node_that_rejects_most_requests_does_not_look_fast() -> None:
+    """Guards against sending ever more requests to a kind whose full queues reject them at once."""
     balancer = make_balancer(0)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Member(i, kind="xy"[i % 2]) for i in range(8))))
     number = 0
@@ -462,13 +464,13 @@
 
 
 def test_a_kind_whose_attempts_time_out_does_not_look_fast() -> None:
-    """Guards against judging an overloaded kind by the few answers it still gives."""
+    """Guards against judging an overloaded kind only by the few requests that it still answers."""
     balancer = make_balancer(0)
     balancer.handle(0, Membership(ListKind.FULL, tuple(Member(i, kind="xy"[i % 2]) for i in range(8))))
     for i in range(400):
         now = i * 25.0
         if i % 10 == 0:
-            balancer.throttle.asked = balancer.throttle.good = 0.0
+            balancer.throttle.requests = balancer.throttle.accepts = 0.0
             balancer.handle(now, Timer("sample"))
         for send in sends(balancer.handle(now, make_request(i, now))):
             late = send.node % 2 == 1 and i % 3 > 0
@@ -478,29 +480,30 @@
 
 
 def test_shed_requests_earn_no_retry_budget() -> None:
-    """Guards against a jam that pays for its own further attempts."""
+    """Guards against overload whose shed requests pay for further retries."""
     balancer = make_balancer(12)
-    balancer.budgets.retries, balancer.throttle.asked = 0.0, 1e9
+    balancer.budgets.retry_tokens, balancer.throttle.requests = 0.0, 1e9
     for i in range(100):
         assert sends(balancer.handle(0, make_request(i, 0))) == []
-    assert balancer.budgets.retries == 0.0
+    assert balancer.budgets.retry_tokens == 0.0
 
 
-def test_one_server_in_trouble_loses_requests_to_their_next_place_unless_all_are() -> None:
-    """Guards against a home that answers too late at a trickle, where in-flight counts show nothing; and
-    against scattering keys when the whole fleet is in trouble."""
+def test_requests_are_diverted_from_one_late_node_but_not_under_pressure() -> None:
+    """Guards against a home that answers too late at low traffic, where the requests in flight do not show
+    it, and against scattering keys when the whole fleet is overloaded."""
     balancer = make_balancer(12)
-    k = make_key(3)
-    home, second = balancer.fleet.order(k)[:2]
-    home.throttle.asked = 1e6
-    assert sends(balancer.handle(0, make_request(1, 0, key=k)))[0].node == second.id
-    balancer.throttle.asked, balancer.throttle.good = 100.0, 75.0
-    nodes = [s.node for i in range(2, 40) for s in sends(balancer.handle(0, make_request(i, 0, key=k)))]
+    key = make_key(3)
+    home, second = balancer.fleet.order(key)[:2]
+    home.throttle.requests = 1e6
+    assert sends(balancer.handle(0, make_request(1, 0, key=key)))[0].node == second.id
+    balancer.throttle.requests, balancer.throttle.accepts = 100.0, 75.0
+    nodes = [s.node for i in range(2, 40) for s in sends(balancer.handle(0, make_request(i, 0, key=key)))]
     assert nodes[:4] == [home.id] * 4
 
 
-def test_list_is_asked_early_and_again_after_failures_with_pauses_that_leave_room_for_two_calls() -> None:
-    """After a failed call changes count as told 6 s after they were made, and a call may queue for 2 s."""
+def test_the_list_is_requested_early_and_again_after_failures() -> None:
+    """After a failed call, changes count as announced 6 s after they were made, and a call may queue for 2 s,
+    so the pauses must leave time for two calls."""
     balancer = Balancer(make_settings(list_on_request=True, balancers=100), 3, 0.0)
     timers = [a for a in balancer.handle(0, Membership(ListKind.CACHED, make_fleet(4)))]
     watch = next(t for t in timers if getattr(t, "token", "") == "watch")
@@ -510,12 +513,13 @@
     for i in range(6):
         timer = balancer.handle(1000 * i, Membership(ListKind.FAILED))[0]
         pauses.append(timer.at - 1000 * i)  # type: ignore[union-attr]
-    assert 250 <= min(pauses) < max(pauses) <= 1_000, "drawn, as all proxies fail together"
+    assert 250 <= min(pauses) < max(pauses) <= 1_000, "random, because all instances fail together"
 
 
 @given(st.sampled_from([1_000.0, 3_000.0, 10_000.0, 30_000.0]))
-def test_no_pause_lets_the_time_to_ask_within_go_by(ask_within_ms: float) -> None:
-    """Guards against a list that counts as told since while nobody asks, over a long outage too."""
+def test_no_pause_exceeds_the_time_to_ask_within(ask_within_ms: float) -> None:
+    """Guards against a list that counts as announced although nobody asked for it, also during a long
+    outage."""
     balancer = Balancer(
         make_settings(list_on_request=True, balancers=100, rules=replace(RULES, ask_within_ms=ask_within_ms)),
         3,
@@ -539,7 +543,7 @@
     assert balancer.handle(6, Timer("never set")) == []
 
 
-def test_a_started_stream_is_left_to_the_client() -> None:
+def test_a_started_stream_is_neither_retried_nor_cancelled() -> None:
     balancer = make_balancer(classes=(RequestClass("s", 300, 1000, stream=True),))
     send = sends(balancer.handle(0, make_request(1, 0, "s")))[0]
     assert balancer.handle(10, StreamStarted(1, 0, send.node)) == []
@@ -547,7 +551,7 @@
     assert not balancer.pending
 
 
-def test_aside_misses_and_writes_go_to_the_origin() -> None:
+def test_cache_aside_misses_and_writes_go_to_the_origin() -> None:
     balancer = make_balancer(0, origin_kind="store")
     fleet = (*make_fleet(4), Member(9, kind="store"))
     balancer.handle(0, Membership(ListKind.FULL, fleet))
@@ -558,60 +562,62 @@
     assert sends(balancer.handle(3, make_request(100, 3, "once", write=True)))[0].node == 9
 
 
-def test_a_restarted_server_is_cold_and_has_a_clean_record() -> None:
+def test_a_restarted_node_is_cold_and_healthy() -> None:
     balancer = make_balancer(4)
     node = balancer.fleet.ready[0]
     node.failures, node.ejected_until = 5, 1e9
     balancer.handle(2000, Membership(ListKind.DELTA, (Member(node.id, ready_at_ms=1900.0),)))
-    assert healthy(node, 2000)
+    assert is_healthy(node, 2000)
     assert balancer.fleet.warmth(node, 2000) < 0.3
 
 
-def test_requests_of_no_known_class_say_nothing_of_load_or_of_keys() -> None:
-    """Guards against a rate, and with it a cold server's budget, blown up by clients that send anything."""
+def test_requests_of_unknown_classes_do_not_affect_load_or_keys() -> None:
+    """Guards against clients with arbitrary classes that inflate the rate, and with it the budget of cold
+    nodes."""
     balancer = make_balancer(4)
     for i in range(200):
         assert balancer.handle(i, make_request(i, i, "unheard-of", key=make_key(1))) == [Refuse(i)]
     balancer.handle(250, Timer("sample"))
-    assert balancer.rate == 0 and not balancer.hot_keys.topk.fifo and balancer.throttle.asked == 0
+    assert balancer.rate_per_ms == 0 and not balancer.hot_keys.topk.fifo and balancer.throttle.requests == 0
 
 
-def test_servers_that_are_gone_are_forgotten_once_nothing_is_out_there() -> None:
-    """Guards against memory and CPU that grow all day where servers are replaced under new ids."""
+def test_gone_nodes_are_removed_once_no_attempt_is_outstanding() -> None:
+    """Guards against unbounded memory and CPU use when nodes are replaced under new ids."""
     balancer = make_balancer(4)
     send = sends(balancer.handle(0, make_request(1, 0)))[0]
     for number in range(500):
         fleet = tuple(Member(10_000 + 4 * number + i) for i in range(4))
         balancer.handle(number, Membership(ListKind.FULL, fleet))
-    assert len(balancer.fleet.nodes) == 5, "one attempt is still out at a server that is gone"
+    assert len(balancer.fleet.nodes) == 5, "one attempt is outstanding at a node that is gone"
     balancer.handle(600, ok(send))
     balancer.handle(601, Membership(ListKind.DELTA, (Member(10_000, State.GONE),)))
     assert len(balancer.fleet.nodes) == 4 and balancer.fleet.in_flight == 0
 
 
-def second_copy(cls: str, overtaken: bool, pressure: float = 0.0) -> list[Send]:
-    """What goes out for a request long unanswered, where its server has served a later one or has not."""
+def hedge(cls: str, overtaken: bool, pressure: float = 0.0) -> list[Send]:
+    """Returns the attempts sent for a request that waits long, on a node that has or has not answered a later
+    one."""
     balancer = make_balancer(4)
-    for number in range(1, 20):  # the usual latency becomes known
+    for number in range(1, 20):  # establishes the mean latency
         first = sends(balancer.handle(number, make_request(number, number, cls, key=make_key(1))))[0]
         balancer.handle(number + 10, ok(first))
-    asked = balancer.handle(1_000, make_request(100, 1_000, cls, key=make_key(1)))
-    timers = [a for a in asked if isinstance(a, SetTimer)]
+    actions = balancer.handle(1_000, make_request(100, 1_000, cls, key=make_key(1)))
+    timers = [a for a in actions if isinstance(a, SetTimer)]
     later = sends(balancer.handle(1_025, make_request(101, 1_025, cls, key=make_key(1))))[0]
-    assert later.node == sends(asked)[0].node
+    assert later.node == sends(actions)[0].node
     if overtaken:
         balancer.handle(1_029, ok(later))
-    balancer.throttle.asked += pressure
+    balancer.throttle.requests += pressure
     return [s for t in timers for s in sends(balancer.handle(t.at, Timer(t.token)))]
 
 
-def test_an_attempt_on_a_dead_connection_gets_a_second_copy_where_a_repeat_is_harmless() -> None:
+def test_an_attempt_on_a_dead_connection_is_hedged_if_a_repeat_is_harmless() -> None:
     for cls in ("read", "keyed"):
-        (send,) = second_copy(cls, overtaken=True)
+        (send,) = hedge(cls, overtaken=True)
         assert send.id == 100
-    assert not second_copy("once", overtaken=True)
+    assert not hedge("once", overtaken=True)
 
 
-def test_a_queue_or_a_jam_causes_no_second_copy() -> None:
-    assert not second_copy("read", overtaken=False)
-    assert not second_copy("read", overtaken=True, pressure=1_000.0)
+def test_a_queue_or_pressure_causes_no_hedge() -> None:
+    assert not hedge("read", overtaken=False)
+    assert not hedge("read", overtaken=True, pressure=1_000.0)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,8 +1,8 @@
-"""The module decides what it decided when its decisions were last changed on purpose.
+"""Regression test: the policy takes the recorded actions for the same events.
 
-A small world of servers, clients and faults, all drawn from one seed, drives the module event by event; what
-it sends, cancels, refuses and fails is compared, in blocks of a hundred, with what the module did in the same
-world when the record was last written. `python -m tests.test_trace` prints the record of the code as it is.
+A simulation of nodes, clients and faults, seeded once, drives the policy event by event. What it sends,
+cancels, refuses and fails is compared, in blocks of a hundred actions, with the record in trace.json. `python
+-m tests.test_trace` prints the record of the current code.
 """
 
 from __future__ import annotations
@@ -68,41 +68,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
-    """A span of the world: its requests a second, how skewed their keys are, and what goes wrong."""
+class Phase:
+    """A phase of the simulation: requests per second, skew of their keys, and faults."""
 
     seconds: float
     rate: float
-    hot: float = 0.0  # share of the traffic that asks for one key
+    hot: float = 0.0  # share of the requests that are for one key
     full: float = 0.0
     error: float = 0.0
     reset: float = 0.0
     hang: float = 0.0
-    gone: float = 0.0  # share of the clients that leave
+    gone: float = 0.0  # share of the clients that disconnect
     slow: float = 1.0
-    mute: str = ""  # a class that every third server hangs on
-    lists: str = ""  # what happens to the list of servers at its start
-
-
-SCENES = (
-    Scene(8.0, 120.0),
-    Scene(4.0, 300.0, hot=0.4),
-    Scene(3.0, 200.0, full=0.3),
-    Scene(3.0, 150.0, error=0.2),
-    Scene(3.0, 150.0, reset=0.1, gone=0.1),
-    Scene(3.0, 120.0, hang=0.1, lists="add"),
-    Scene(4.0, 900.0, slow=4.0),
-    Scene(4.0, 150.0, mute="read"),
-    Scene(4.0, 200.0, hot=0.5, lists="drain"),
-    Scene(4.0, 250.0, lists="replace"),
-    Scene(2.0, 150.0, lists="fail"),
-    Scene(3.0, 200.0, hot=0.2, full=0.1, error=0.1, hang=0.05, gone=0.05),
+    hanging_class: str = ""  # every third node hangs on it
+    list_change: str = ""  # change of the list of nodes at the start
+
+
+PHASES = (
+    Phase(8.0, 120.0),
+    Phase(4.0, 300.0, hot=0.4),
+    Phase(3.0, 200.0, full=0.3),
+    Phase(3.0, 150.0, error=0.2),
+    Phase(3.0, 150.0, reset=0.1, gone=0.1),
+    Phase(3.0, 120.0, hang=0.1, list_change="add"),
+    Phase(4.0, 900.0, slow=4.0),
+    Phase(4.0, 150.0, hanging_class="read"),
+    Phase(4.0, 200.0, hot=0.5, list_change="drain"),
+    Phase(4.0, 250.0, list_change="replace"),
+    Phase(2.0, 150.0, list_change="fail"),
+    Phase(3.0, 200.0, hot=0.2, full=0.1, error=0.1, hang=0.05, gone=0.05),
 )
 
 
 class DrawByDraw(FastTopK):
-    """The comparisons as that commit made them, one number of the generator for each: the only thing that
-    has changed since is that their count is drawn by one (tests/test_mechanism.py has its law)."""
+    """Compares entry by entry, with one random number each, as the code did when the record was written. Now
+    a single random number gives the number of matches; tests/test_load_balancing.py checks its
+    distribution."""
 
     def observe(self, key: str) -> None:
         self.seen += 1
@@ -119,8 +120,8 @@
         del self.fifo[: max(entries + 1 - self.capacity, 0)]
 
 
-class World:
-    """Events in order of time; every draw of the world is its own, never the module's."""
+class Simulation:
+    """A discrete-event simulation with its own random generator, separate from that of the policy."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -130,7 +131,7 @@
         self.heap: list[tuple[float, int, Any]] = []
         self.count = self.numbers = 0
         self.now = 0.0
-        self.scene = SCENES[0]
+        self.phase = PHASES[0]
         self.members = {
             i: Member(1000 + 7919 * i, kind="ml"[i % 2], zone="ab"[i % 2], cell=i % 4, size=1.0 + i % 3)
             for i in range(8)
@@ -142,101 +143,103 @@
         self.busy: Counter[int] = Counter()
         self.lines: list[str] = []
 
-    def at(self, due: float, event: Any) -> None:
+    def schedule(self, at: float, event: Any) -> None:
         self.count += 1
-        heapq.heappush(self.heap, (due, self.count, event))
+        heapq.heappush(self.heap, (at, self.count, event))
 
-    def play(self) -> list[str]:
+    def run(self) -> list[str]:
         start = 0.0
-        self.tell(Membership(ListKind.CACHED, tuple(self.members.values()), 1))
-        for scene in SCENES:
-            self.at(start, scene)
-            at = start
-            while (at := at + self.rng.expovariate(scene.rate) * 1e3) < start + scene.seconds * 1e3:
-                self.at(at, "ask")
-            start += scene.seconds * 1e3
+        self.handle(Membership(ListKind.CACHED, tuple(self.members.values()), 1))
+        for phase in PHASES:
+            self.schedule(start, phase)
+            arrives_at = start
+            while (
+                arrives_at := arrives_at + self.rng.expovariate(phase.rate) * 1e3
+            ) < start + phase.seconds * 1e3:
+                self.schedule(arrives_at, "request")
+            start += phase.seconds * 1e3
         while self.heap and self.now < start + 5_000:
             self.now, _, event = heapq.heappop(self.heap)
-            if isinstance(event, Scene):
-                self.scene = event
-                self.relist(event.lists)
-            elif event == "ask":
-                self.ask()
+            if isinstance(event, Phase):
+                self.phase = event
+                self.change_list(event.list_change)
+            elif event == "request":
+                self.send_request()
             elif isinstance(event, tuple):
-                self.finish(*event)
+                self.end_attempt(*event)
             elif isinstance(event, ClientGone):
                 if event.id in self.open:
                     self.close(event.id)
-                    self.tell(event)
+                    self.handle(event)
             else:
-                self.tell(event)
+                self.handle(event)
         return self.lines
 
-    def relist(self, what: str) -> None:
+    def change_list(self, change: str) -> None:
         members, kind = self.members, ListKind.DELTA
-        if what == "add":
+        if change == "add":
             members |= {
                 i: Member(9000 + 31 * i, kind="m", zone="a", cell=i % 4, ready_at_ms=self.now - 100)
                 for i in (20, 21)
             }
-        elif what == "drain":
+        elif change == "drain":
             members[0] = replace(members[0], state=State.DRAINING)
             members[1] = replace(members[1], state=State.GONE)
-        elif what == "replace":
+        elif change == "replace":
             kind = ListKind.FULL
             del members[2]
             members[3] = replace(members[3], ready_at_ms=self.now - 500)
-        if what == "fail":
-            self.tell(Membership(ListKind.FAILED))
-        elif what:
-            self.tell(Membership(kind, tuple(members.values()), 2))
+        if change == "fail":
+            self.handle(Membership(ListKind.FAILED))
+        elif change:
+            self.handle(Membership(kind, tuple(members.values()), 2))
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.numbers += 1
         rng, number = self.rng, self.numbers
         cls = rng.choices(["read", "list", "pay", "keyed", "celled", "unheard"], [60, 15, 8, 8, 8, 1])[0]
-        name: str | None = make_key(rng.randrange(300))
-        if rng.random() < self.scene.hot:
-            name = make_key(7)
+        key: str | None = make_key(rng.randrange(300))
+        if rng.random() < self.phase.hot:
+            key = make_key(7)
         elif rng.random() < 0.03:
-            name = None
+            key = None
         elif rng.random() < 0.1:
-            name = f"tenant/{rng.randrange(40)}"
+            key = f"tenant/{rng.randrange(40)}"
         deadline = next((c.deadline_ms for c in CLASSES if c.name == cls), 500.0)
         request = Request(
-            number, cls, self.now + deadline * rng.choice([1.0, 1.0, 0.5]), key=name, write=cls == "pay"
+            number, cls, self.now + deadline * rng.choice([1.0, 1.0, 0.5]), key=key, write=cls == "pay"
         )
         self.open[number] = request, {}
-        if rng.random() < self.scene.gone:
-            self.at(self.now + rng.uniform(1, 60), ClientGone(number))
-        self.tell(request)
+        if rng.random() < self.phase.gone:
+            self.schedule(self.now + rng.uniform(1, 60), ClientGone(number))
+        self.handle(request)
 
     def close(self, number: int) -> None:
-        _, out = self.open.pop(number)
-        for attempt, node in out.items():
-            self.at(self.now, (number, attempt, node, Status.CANCELLED, self.now))
+        _, outstanding = self.open.pop(number)
+        for attempt, node in outstanding.items():
+            self.schedule(self.now, (number, attempt, node, Status.CANCELLED, self.now))
 
     def send(self, action: Send) -> None:
         number, node = action.id, action.node
         attempt = self.attempts[number]
         self.attempts[number] += 1
         if number not in self.open:
-            self.at(self.now, (number, attempt, node, Status.MOOT, self.now))
+            self.schedule(self.now, (number, attempt, node, Status.MOOT, self.now))
             return
-        request, out = self.open[number]
-        out[attempt] = node
+        request, outstanding = self.open[number]
+        outstanding[attempt] = node
         self.busy[node] += 1
-        rng, scene = self.rng, self.scene
-        took = rng.lognormvariate(2.0, 0.7) * scene.slow * (1 + self.busy[node] / 4)
+        rng, phase = self.rng, self.phase
+        took = rng.lognormvariate(2.0, 0.7) * phase.slow * (1 + self.busy[node] / 4)
         draw, status = rng.random(), Status.OK
-        faults = (scene.full, Status.FULL), (scene.error, Status.ERROR), (scene.reset, Status.RESET)
+        faults = (phase.full, Status.FULL), (phase.error, Status.ERROR), (phase.reset, Status.RESET)
         for share, fault in faults:
             if draw < share:
                 status = fault
                 break
             draw -= share
         else:
-            if draw < scene.hang or (scene.mute == request.cls and node % 3 == 0):
+            if draw < phase.hang or (phase.hanging_class == request.cls and node % 3 == 0):
                 took = 1e9
             elif self.settings.origin_kind is not None and node != 5 and rng.random() < 0.2:
                 status = Status.MISS
@@ -250,47 +253,55 @@
         if self.now + took >= limit:
             took, status = limit - self.now, Status.TIMEOUT
         if status is Status.OK and request.cls == "list" and rng.random() < 0.3:
-            self.at(self.now + took / 2, StreamStarted(number, attempt, node))
-        self.at(self.now + took, (number, attempt, node, status, self.now))
+            self.schedule(self.now + took / 2, StreamStarted(number, attempt, node))
+        self.schedule(self.now + took, (number, attempt, node, status, self.now))
 
-    def finish(self, number: int, attempt: int, node: int, status: Status, begun: float) -> None:
-        request, out = self.open.get(number, (None, {}))
-        if status not in (Status.CANCELLED, Status.MOOT) and out.pop(attempt, None) is None:
-            return  # ended before
+    def end_attempt(self, number: int, attempt: int, node: int, status: Status, sent_at: float) -> None:
+        request, outstanding = self.open.get(number, (None, {}))
+        if status not in (Status.CANCELLED, Status.MOOT) and outstanding.pop(attempt, None) is None:
+            return  # already ended
         if status is not Status.MOOT:
             self.busy[node] -= 1
         closed = request is None or status is Status.OK
         if status is Status.OK:
             self.close(number)
-        self.tell(
+        self.handle(
             Outcome(
-                number, attempt, node, status, self.now - begun, closed, True if status is Status.OK else None
+                number,
+                attempt,
+                node,
+                status,
+                self.now - sent_at,
+                closed,
+                True if status is Status.OK else None,
             )
         )
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
                 case Send(number, node, timeout):
-                    cut = "" if timeout is None else f" {timeout:.6f}"
-                    self.lines.append(f"{self.now:.6f} send {number} {node}{cut}")
+                    suffix = "" if timeout is None else f" {timeout:.6f}"
+                    self.lines.append(f"{self.now:.6f} send {number} {node}{suffix}")
                     self.send(action)
                 case Cancel(number, attempt):
                     self.lines.append(f"{self.now:.6f} cancel {number} {attempt}")
-                    _, out = self.open.get(number, (None, {}))
-                    if attempt in out:
-                        self.at(self.now, (number, attempt, out.pop(attempt), Status.CANCELLED, self.now))
+                    _, outstanding = self.open.get(number, (None, {}))
+                    if attempt in outstanding:
+                        self.schedule(
+                            self.now, (number, attempt, outstanding.pop(attempt), Status.CANCELLED, self.now)
+                        )
                 case Refuse(number) | Fail(number):
                     self.lines.append(f"{self.now:.6f} {type(action).__name__.lower()} {number}")
                     if number in self.open:
                         self.close(number)
-                case SetTimer(due, token):
-                    self.at(due, Timer(token))
+                case SetTimer(at, token):
+                    self.schedule(at, Timer(token))
                 case Watch():
                     self.lines.append(f"{self.now:.6f} watch")
 
 
-def worlds() -> dict[str, Settings]:
+def scenarios() -> dict[str, Settings]:
     limits = Limits(max_attempts=3, second_copies=True, cancel=True)
     plain = Settings(classes=CLASSES, zone="a", rules=RULES, limits=limits)
     return {
@@ -301,7 +312,7 @@
 
 
 def record(name: str, seed: int = 3) -> dict[str, Any]:
-    lines = World(worlds()[name], seed).play()
+    lines = Simulation(scenarios()[name], seed).run()
     blocks = ["\n".join(lines[i : i + BLOCK]) for i in range(0, len(lines), BLOCK)]
     return {
         "kinds": dict(sorted(Counter(line.split()[1] for line in lines).items())),
@@ -309,14 +320,16 @@
     }
 
 
-@pytest.mark.parametrize("name", worlds())
-def test_the_same_events_bring_the_same_actions(name: str) -> None:
-    was, now = json.loads(RECORD.read_text())[name], record(name)
-    assert set(was["kinds"]) >= {"send", "refuse"} and was["kinds"]["send"] > 3_000
-    differing = [i for i, (a, b) in enumerate(zip(was["blocks"], now["blocks"], strict=False)) if a != b]
-    assert not differing, f"from action {differing[0] * BLOCK} on, what is done differs"
-    assert now == was
+@pytest.mark.parametrize("name", scenarios())
+def test_the_recorded_actions_are_taken(name: str) -> None:
+    expected, actual = json.loads(RECORD.read_text())[name], record(name)
+    assert set(expected["kinds"]) >= {"send", "refuse"} and expected["kinds"]["send"] > 3_000
+    differing = [
+        i for i, (a, b) in enumerate(zip(expected["blocks"], actual["blocks"], strict=False)) if a != b
+    ]
+    assert not differing, f"the actions differ from number {differing[0] * BLOCK} on"
+    assert actual == expected
 
 
 if __name__ == "__main__":
-    print(json.dumps({name: record(name) for name in worlds()}))
+    print(json.dumps({name: record(name) for name in scenarios()}))
