--- a/notchflow/wire.py
+++ b/notchflow/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's wire and the library's events and actions. It decides nothing."""
+"""The codec between the simulator's line protocol and the policy's events and actions. It decides nothing."""
 
 from __future__ import annotations
 
@@ -66,33 +66,33 @@
 
 
 class WireError(Exception):
-    """A line that does not follow the wire."""
+    """A line that does not follow the protocol."""
 
 
-def split(line: str) -> tuple[str, Fields]:
-    """A line's message name and its fields; unknown fields stay in and are never read."""
+def split_line(line: str) -> tuple[str, Fields]:
+    """Returns a line's message name and fields. Unknown fields are kept and never read."""
     name, *pairs = line.split("\t")
     fields: Fields = {}
     for pair in pairs:
-        key, mark, value = pair.partition("=")
-        if not mark or not key:
+        key, separator, value = pair.partition("=")
+        if not separator or not key:
             raise WireError(f"expected name=value, got {pair[:40]!r}")
         fields[key] = value
     return name, fields
 
 
-def text(fields: Fields, name: str) -> str:
-    """A field that must be there."""
+def required(fields: Fields, name: str) -> str:
+    """Returns a required field; raises WireError if it is missing."""
     if name not in fields:
         raise WireError(f"expected the field {name}")
     return fields[name]
 
 
 def number(fields: Fields, name: str, default: float | None = None) -> float:
-    """A finite number."""
+    """Returns a finite number, or the default for a missing field; raises WireError for anything else."""
     if name not in fields and default is not None:
         return default
-    raw = text(fields, name)
+    raw = required(fields, name)
     try:
         value = float(raw)
     except ValueError:
@@ -103,10 +103,10 @@
 
 
 def integer(fields: Fields, name: str, default: int | None = None) -> int:
-    """An integer."""
+    """Returns an integer, or the default for a missing field; raises WireError for anything else."""
     if name not in fields and default is not None:
         return default
-    raw = text(fields, name)
+    raw = required(fields, name)
     try:
         return int(raw)
     except ValueError:
@@ -114,7 +114,7 @@
 
 
 def flag(fields: Fields, name: str) -> bool:
-    """A boolean, false when absent."""
+    """Returns a boolean, false for a missing field; raises WireError for anything but 0 and 1."""
     raw = fields.get(name, "0")
     if raw not in ("0", "1"):
         raise WireError(f"expected 0 or 1 in {name}, got {raw[:40]!r}")
@@ -122,15 +122,15 @@
 
 
 def one_of(fields: Fields, name: str, table: Mapping[str, _T]) -> _T:
-    """One of the words of a table."""
-    raw = text(fields, name)
+    """Returns the value that a table has for a field's word; raises WireError for an unknown word."""
+    raw = required(fields, name)
     if raw not in table:
         raise WireError(f"expected one of {', '.join(table)} in {name}, got {raw[:40]!r}")
     return table[raw]
 
 
-def report(fields: Fields, names: tuple[str, ...]) -> dict[str, float] | None:
-    """A load report, by the names of the library."""
+def load_report(fields: Fields, names: tuple[str, ...]) -> dict[str, float] | None:
+    """Returns a load report under the policy's names, or None if there is none."""
     if not fields.get("Metrics"):
         return None
     values = fields["Metrics"].split(",")
@@ -145,7 +145,7 @@
 
 
 def decode_member(fields: Fields) -> Member:
-    """One `item` line of a list."""
+    """Decodes an `item` line, one member of a list."""
     return Member(
         node=integer(fields, "Node"),
         state=one_of(fields, "Readiness", STATES),
@@ -158,12 +158,12 @@
 
 
 def decode_membership(fields: Fields, members: tuple[Member, ...]) -> Membership:
-    """A `sync` line with its items."""
+    """Decodes a `sync` line; its items are given as members."""
     return Membership(one_of(fields, "Scope", SCOPES), members, integer(fields, "Generation", 0))
 
 
 def decode_event(name: str, fields: Fields, report_fields: tuple[str, ...]) -> Event:
-    """Any event but `sync`, which spans several lines."""
+    """Decodes any event but `sync`, which spans several lines; raises WireError."""
     if name == "ask":
         tenant = fields.get("Org")
         key = fields.get("RouteKey") or None
@@ -171,7 +171,7 @@
             raise WireError(f"expected hex digits in RouteKey, got {key[:40]!r}")
         return Request(
             id=integer(fields, "MsgId"),
-            cls=text(fields, "Grade"),
+            cls=required(fields, "Grade"),
             deadline=number(fields, "NotAfterMs"),
             key=key,
             tenant=None if tenant in (None, "0", "") else tenant,
@@ -190,27 +190,27 @@
             latency_ms=number(fields, "TimeTakenMs", 0.0),
             closed=flag(fields, "Closed"),
             hit=None if detail == 0 else detail == 1,
-            load=report(fields, report_fields),
+            load=load_report(fields, report_fields),
         )
     if name == "established":
         return StreamStarted(integer(fields, "MsgId"), integer(fields, "Hop"), integer(fields, "Node"))
     if name == "gone":
         return ClientGone(integer(fields, "MsgId"))
     if name == "reminder":
-        return Timer(text(fields, "Nonce"))
+        return Timer(required(fields, "Nonce"))
     if name == "echo":
         return Probed(
             integer(fields, "Node"),
             one_of(fields, "Rc", STATUSES),
             number(fields, "TimeTakenMs", 0.0),
-            report(fields, report_fields),
+            load_report(fields, report_fields),
         )
     if name == "heard":
         data = fields.get("Contents", "-")
         if data != "-" and not _is_hex(data):
             raise WireError(f"expected hex digits in Contents, got {data[:40]!r}")
         return PeerMessage(integer(fields, "Src"), b"" if data == "-" else bytes.fromhex(data))
-    raise WireError(f"expected a message of the wire, got {name[:40]!r}")
+    raise WireError(f"expected a known message, got {name[:40]!r}")
 
 
 def _is_hex(value: str) -> bool:
@@ -218,16 +218,16 @@
 
 
 def encode(action: Action) -> str:
-    """An action as a line, without its end."""
+    """Encodes an action as a line, without the line end."""
     match action:
-        case Send(request, node, timeout):
-            cut = "" if timeout is None else f"\tTimeoutMs={timeout:.3f}"
-            return f"call_out\tMsgId={request}{cut}\tNode={node}"
+        case Send(request, node, timeout_ms):
+            timeout = "" if timeout_ms is None else f"\tTimeoutMs={timeout_ms:.3f}"
+            return f"call_out\tMsgId={request}{timeout}\tNode={node}"
         case Cancel(request, attempt):
             return f"cancel\tMsgId={request}\tHop={attempt}"
-        case Refuse(request, wait):
-            advice = f"\tHoldOffMs={wait:.3f}" if wait > 0 else ""
-            return f"deny\tMsgId={request}{advice}"
+        case Refuse(request, retry_after_ms):
+            retry_after = f"\tHoldOffMs={retry_after_ms:.3f}" if retry_after_ms > 0 else ""
+            return f"deny\tMsgId={request}{retry_after}"
         case Fail(request):
             return f"finish_error\tMsgId={request}"
         case SetTimer(at, token):
@@ -239,6 +239,7 @@
 
 
 def decode_settings(raw: str) -> tuple[Settings, tuple[str, ...]]:
+    """Returns the settings and the field names of load reports; raises WireError."""
     try:
         return settings.decode(json.loads(raw))
     except settings.SettingsError as error:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec in both directions, the adapter as a process, determinism, purity and limits."""
+"""The line protocol of the simulator, the adapter process, and the limits on the sources of the policy."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 )
 
 ROOT = Path(__file__).parent.parent
-MODULE_LINES_MAX = 500  # of one module of the policy
+MODULE_LINES_MAX = 500  # lines of one file of the policy
 CONFIG: dict[str, Any] = {
     "Az": "a",
     "Classes": [{"Name": "read", "ObjectiveMs": 300.0, "DeadlineMs": 1000.0, "Effect": "repeatable"}],
@@ -82,7 +82,7 @@
     ],
 )
 def test_events_are_decoded(line: str, event: Any) -> None:
-    name, fields = wire.split(line)
+    name, fields = wire.split_line(line)
     assert wire.decode_event(name, fields, ("load_share", "tps")) == event
 
 
@@ -106,8 +106,8 @@
 
 
 def test_lists_are_decoded() -> None:
-    _, fields = wire.split("sync\tScope=restored\tGeneration=41\tHosts=1")
-    _, item = wire.split(
+    _, fields = wire.split_line("sync\tScope=restored\tGeneration=41\tHosts=1")
+    _, item = wire.split_line(
         "item\tFamilyType=large\tPod=2\tReadiness=terminating\tSize=1.5\tZone=z\t" "ReadyAtMs=6.5\tNode=9"
     )
     member = Member(9, State.DRAINING, "large", "z", 2, 1.5, 6.5)
@@ -119,15 +119,15 @@
     settings, fields = wire.decode_settings(json.dumps(CONFIG))
     assert settings.list_on_request and settings.balancers == 2 and fields == ("load_share", "tps")
     assert settings.classes[0].effect is Effect.SAFE
-    aside = CONFIG | {"FamilyInfo": {"Mode": "aside", "OriginKind": 1}, "Kinds": ["box", "store"]}
-    assert wire.decode_settings(json.dumps(aside))[0].origin_kind == "store"
+    cache_aside = CONFIG | {"FamilyInfo": {"Mode": "aside", "OriginKind": 1}, "Kinds": ["box", "store"]}
+    assert wire.decode_settings(json.dumps(cache_aside))[0].origin_kind == "store"
 
 
 CLASS = {"Name": "a", "ObjectiveMs": 1, "DeadlineMs": 2}
 
 
 @pytest.mark.parametrize(
-    ("given", "told"),
+    ("settings", "message"),
     [
         (
             {"Rules": {"AskWithinMs": "x"}},
@@ -158,10 +158,10 @@
         ({"Report": {"Fields": [1]}}, "Report.Fields: must be a text, not 1"),
     ],
 )
-def test_settings_that_cannot_be_are_told_with_place_and_value(given: dict[str, Any], told: str) -> None:
+def test_errors_of_settings_name_place_and_value(settings: dict[str, Any], message: str) -> None:
     with pytest.raises(wire.WireError) as caught:
-        wire.decode_settings(json.dumps({"Classes": [CLASS]} | given))
-    assert str(caught.value).startswith("Config: " + told)
+        wire.decode_settings(json.dumps({"Classes": [CLASS]} | settings))
+    assert str(caught.value).startswith("Config: " + message)
 
 
 @pytest.mark.parametrize(
@@ -177,7 +177,7 @@
         (lambda: Settings(classes=(RequestClass("a", 1, 2),), balancers=0), "Settings.balancers"),
     ],
 )
-def test_impossible_settings_name_the_field(make: Any, field: str) -> None:
+def test_invalid_settings_name_the_field(make: Any, field: str) -> None:
     with pytest.raises(ValueError, match=field):
         make()
 
@@ -222,7 +222,7 @@
     return "\n".join(lines) + "\n"
 
 
-def test_adapter_answers_alike_under_any_hash_seed() -> None:
+def test_adapter_replies_do_not_depend_on_the_hash_seed() -> None:
     first = run_adapter(session(), "1")
     assert first.returncode == 0 and first.stderr == ""
     assert first.stdout.count("call_out\t") == 400
@@ -231,33 +231,33 @@
         assert run_adapter(session(), seed).stdout == first.stdout
 
 
-def test_instances_do_not_touch_each_other() -> None:
-    def of(reply: str, instance: str) -> list[str]:
-        mine, speaker = [], ""
+def test_instances_do_not_affect_each_other() -> None:
+    def replies_to(reply: str, instance: str) -> list[str]:
+        lines, current = [], ""
         for line in reply.splitlines():
             if line.startswith("on_behalf"):
-                speaker = line
+                current = line
             elif line == "ready":
-                speaker = ""
-            elif speaker == f"on_behalf\tI={instance}":
-                mine.append(line)
-        return mine
+                current = ""
+            elif current == f"on_behalf\tI={instance}":
+                lines.append(line)
+        return lines
 
-    kept, mine, held = [], True, session().splitlines()
-    for line in held:
+    kept, selected, session_lines = [], True, session().splitlines()
+    for line in session_lines:
         if line.startswith("select"):
-            mine = line.endswith("proxy_1")
+            selected = line.endswith("proxy_1")
         if line.startswith(("tick", "commit")):
             kept.append(line)
-            mine = True
-        elif mine:
+            selected = True
+        elif selected:
             kept.append(line)
     alone = run_adapter("\n".join(kept) + "\n").stdout
-    assert of(alone, "proxy_1") == of(run_adapter(session()).stdout, "proxy_1") != []
+    assert replies_to(alone, "proxy_1") == replies_to(run_adapter(session()).stdout, "proxy_1") != []
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "told"),
+    ("text", "line", "message"),
     [
         ("tock\n", 1, "expected tick"),
         ("tick\tTimeMs=soon\n", 1, "expected a number in TimeMs"),
@@ -287,13 +287,15 @@
         ),
     ],
 )
-def test_a_malformed_line_ends_the_adapter_with_one_plain_line(text: str, line: int, told: str) -> None:
+def test_a_malformed_line_ends_the_adapter_with_a_one_line_error(text: str, line: int, message: str) -> None:
     done = run_adapter(text)
     assert done.returncode != 0
-    assert done.stderr.count("\n") == 1 and done.stderr.startswith(f"line {line}: ") and told in done.stderr
+    assert (
+        done.stderr.count("\n") == 1 and done.stderr.startswith(f"line {line}: ") and message in done.stderr
+    )
 
 
-def test_a_stopped_instance_keeps_nothing_from_its_earlier_life() -> None:
+def test_a_restarted_instance_has_no_earlier_state() -> None:
     start = f"attach\tRngSeed=1\tConfig={json.dumps(CONFIG)}\nsync\tScope=restored\tHosts=0"
     done = run_adapter(
         "tick\tTimeMs=1\nselect\tI=p\n" + start + "\ncommit\ntick\tTimeMs=2\nselect\tI=p\n"
@@ -305,7 +307,7 @@
 def test_a_failure_inside_a_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     import io
 
-    from notchflow.drill import Drill
+    from notchflow.drill import Adapter
     from notchflow.policy.balancer import Balancer
 
     def broken(self: Balancer, now: float, event: Any) -> list[Any]:
@@ -313,7 +315,7 @@
 
     monkeypatch.setattr(Balancer, "handle", broken)
     sink = io.StringIO()
-    Drill(io.StringIO(session()), sink).run()
+    Adapter(io.StringIO(session()), sink).run()
     assert "internal_error\tReasonText=RuntimeError: no such luck" in sink.getvalue()
 
 
