--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests."""
+"""Hooks for all tests: known failures (tests/known_red.py)."""
 
 from tests.known_red import (
     pytest_collection_modifyitems,
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Each row of the protocol's table of outcomes, and what a client gets for it, over loopback sockets."""
+"""Every outcome of an attempt, and the answer that the client gets for it, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.rig import CLASSES, Rig, Script, Seen, answer, run, serve_value, until
 
 
-def says(data: bytes, close: bool = False) -> Script:
-    """A node that answers every request so."""
+def replies(data: bytes, close: bool = False) -> Script:
+    """Returns a node that answers every request with these bytes."""
 
     async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -24,12 +24,12 @@
     return script
 
 
-async def silent(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def hangs(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """A node that never answers."""
 
 
 async def resets(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """A node whose connection breaks once the request has come."""
+    """A node that resets the connection when a request arrives."""
     writer.transport.abort()
 
 
@@ -37,34 +37,34 @@
 SWITCH = b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"
 ROWS: list[tuple[Script, Status, int]] = [
     (serve_value, Status.OK, 200),
-    (says(answer(status="500 Internal Server Error")), Status.ERROR, 502),
-    (says(answer(status="503 Service Unavailable", X_Rejected="1")), Status.FULL, 503),
-    (says(answer(status="504 Gateway Timeout", X_Rejected="1")), Status.FULL, 503),
-    (says(answer(status="503 Service Unavailable")), Status.ERROR, 502),
-    (says(answer(status="404 Not Found")), Status.ERROR, 502),
+    (replies(answer(status="500 Internal Server Error")), Status.ERROR, 502),
+    (replies(answer(status="503 Service Unavailable", X_Rejected="1")), Status.FULL, 503),
+    (replies(answer(status="504 Gateway Timeout", X_Rejected="1")), Status.FULL, 503),
+    (replies(answer(status="503 Service Unavailable")), Status.ERROR, 502),
+    (replies(answer(status="404 Not Found")), Status.ERROR, 502),
     (resets, Status.RESET, 502),
-    (says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", close=True), Status.RESET, 502),
-    (says(CHUNKED + b"5\r\nshort\r\n", close=True), Status.RESET, 502),
-    (says(b"no HTTP at all\r\n\r\n"), Status.RESET, 502),
-    (says(b"HTTP/1.1 banana\r\n\r\n"), Status.RESET, 502),
-    (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc"), Status.RESET, 502),
-    (says(SWITCH), Status.RESET, 502),
-    (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nthe first of it"), Status.RESET, 502),
-    (says(b"HTTP/1.1 200 OK\r\nX-Long: " + b"a" * 40_000), Status.RESET, 502),
-    (silent, Status.TIMEOUT, 504),
+    (replies(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", close=True), Status.RESET, 502),
+    (replies(CHUNKED + b"5\r\nshort\r\n", close=True), Status.RESET, 502),
+    (replies(b"no HTTP at all\r\n\r\n"), Status.RESET, 502),
+    (replies(b"HTTP/1.1 banana\r\n\r\n"), Status.RESET, 502),
+    (replies(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc"), Status.RESET, 502),
+    (replies(SWITCH), Status.RESET, 502),
+    (replies(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nthe first of it"), Status.RESET, 502),
+    (replies(b"HTTP/1.1 200 OK\r\nX-Long: " + b"a" * 40_000), Status.RESET, 502),
+    (hangs, Status.TIMEOUT, 504),
 ]
 
 
 @pytest.mark.parametrize("script,status,final", ROWS)
-def test_an_unsafe_request_is_told_as_it_went_and_never_sent_twice(
+def test_an_unsafe_request_gets_the_outcome_and_is_never_sent_twice(
     script: Script, status: Status, final: int
 ) -> None:
     async def test() -> None:
         async with Rig(script) as rig:
-            told = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             budget = "0.2" if status is Status.TIMEOUT else "5"
             seen = await rig.ask("PUT", body=b"paid", X_Call_Class="once", X_Budget=budget)
-            assert (seen.status, [o.status for o in told]) == (final, [status])
+            assert (seen.status, [o.status for o in outcomes]) == (final, [status])
             assert rig.sent == 1
             assert not rig.host.active_requests and not rig.host.balancer.pending
 
@@ -75,13 +75,13 @@
 def test_a_read_goes_to_another_node_and_no_broken_connection_is_kept(script: Script, status: Status) -> None:
     async def test() -> None:
         async with Rig(script, script, serve_value) as rig:
-            told = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             number = 0
-            while len(told) == number:  # until a request has met a broken node first
+            while len(outcomes) == number:  # until the first attempt of a request goes to a broken node
                 number += 1
                 seen = await rig.ask(path=f"/api/{number:016x}")
                 assert (seen.status, seen.body) == (200, b"value of /api/%016x" % number)
-            assert {o.status for o in told} == {status, Status.OK}
+            assert {o.status for o in outcomes} == {status, Status.OK}
             if status is Status.RESET:
                 idle = [p for p in rig.host.pools.values() if p.idle]
                 assert len(idle) == 1 and idle[0].address[1] == rig.nodes[2].port
@@ -92,20 +92,20 @@
 def test_a_refused_connection_proves_that_nothing_ran() -> None:
     async def test() -> None:
         async with Rig(serve_value, serve_value) as rig:
-            told = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             rig.nodes[0].stop()
             for number in range(8):
                 seen = await rig.ask("PUT", f"/api/{number:016x}", b"paid", X_Call_Class="once")
-                assert seen.status == 200, "what never ran goes to the next node, unsafe or not"
-            assert Status.CONNECT_FAILED in {o.status for o in told}
+                assert seen.status == 200, "an attempt that never ran is retried, unsafe or not"
+            assert Status.CONNECT_FAILED in {o.status for o in outcomes}
             assert rig.sent == 8
 
     run(test())
 
 
-def test_surplus_after_an_answer_ends_the_connection_not_the_answer() -> None:
+def test_surplus_bytes_after_an_answer_close_the_connection_only() -> None:
     async def test() -> None:
-        async with Rig(says(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue and more")) as rig:
+        async with Rig(replies(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue and more")) as rig:
             client = await rig.connect()
             for _ in range(2):
                 seen = await client.ask()
@@ -115,21 +115,21 @@
     run(test())
 
 
-def test_an_answer_that_comes_before_the_request_is_written_does_not_serve_it() -> None:
-    async def hasty(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_an_answer_before_the_request_is_written_is_an_error() -> None:
+    async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(answer())
         await asyncio.Event().wait()
 
     async def test() -> None:
         async with Rig() as rig:
-            told = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             rig.nodes[0].stop()
-            server = await asyncio.start_server(hasty, "127.0.0.1", rig.nodes[0].port, limit=1)
+            server = await asyncio.start_server(answer_early, "127.0.0.1", rig.nodes[0].port, limit=1)
             client = await rig.connect()
             client.send("PUT", body=b"x" * (16 << 20), X_Call_Class="once")
             seen = await client.receive()
             assert seen is not None and seen.status == 502
-            assert [o.status for o in told] == [Status.RESET]
+            assert [o.status for o in outcomes] == [Status.RESET]
             server.close()
             for task in asyncio.all_tasks() - {asyncio.current_task()}:
                 task.cancel()
@@ -137,43 +137,43 @@
     run(test())
 
 
-def test_interim_answers_are_passed_over_and_trailers_are_no_headers() -> None:
+def test_interim_answers_and_trailers_are_dropped() -> None:
     data = (
         b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
         b"X-Kept: yes\r\n\r\n5\r\nvalue\r\n0\r\nX-Hit: hit\r\nX-Late: yes\r\n\r\n"
     )
 
     async def test() -> None:
-        async with Rig(says(data)) as rig:
-            told = rig.told(Outcome)
+        async with Rig(replies(data)) as rig:
+            outcomes = rig.told(Outcome)
             seen = await rig.ask()
             assert (seen.status, seen.body, seen.headers["x-kept"]) == (200, b"value", "yes")
             assert "link" not in seen.headers and "x-late" not in seen.headers
             assert seen.headers["content-length"] == "5" and "transfer-encoding" not in seen.headers
-            assert told[0].hit is None
+            assert outcomes[0].hit is None
 
     run(test())
 
 
-def test_a_body_may_end_with_its_connection() -> None:
+def test_a_body_may_be_delimited_by_the_end_of_the_connection() -> None:
     async def test() -> None:
-        async with Rig(says(b"HTTP/1.1 200 OK\r\nX-Hit: miss\r\n\r\nvalue", close=True)) as rig:
-            told = rig.told(Outcome)
+        async with Rig(replies(b"HTTP/1.1 200 OK\r\nX-Hit: miss\r\n\r\nvalue", close=True)) as rig:
+            outcomes = rig.told(Outcome)
             seen = await rig.ask()
             assert (seen.status, seen.body) == (200, b"value")
-            assert told[0].hit is False
+            assert outcomes[0].hit is False
 
     run(test())
 
 
-def test_one_connection_s_headers_do_not_reach_the_other_side() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     data = (
         b"HTTP/1.1 200 OK\r\nConnection: close, X-Private\r\nX-Private: 1\r\nX-Kept: 2\r\n"
         b"Keep-Alive: 5\r\nContent-Length: 5\r\n\r\nvalue"
     )
 
     async def test() -> None:
-        async with Rig(says(data, close=True)) as rig:
+        async with Rig(replies(data, close=True)) as rig:
             client = await rig.connect()
             seen = await client.ask(Connection="keep-alive, X-Hop", X_Hop="1", X_Kept="2")
             assert seen.headers["x-kept"] == "2"
@@ -185,7 +185,7 @@
     run(test())
 
 
-def test_what_goes_on_to_a_node_is_the_client_s_own() -> None:
+def test_line_headers_and_body_reach_the_node_unchanged() -> None:
     async def test() -> None:
         async with Rig() as rig:
             await rig.ask(
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("window,times", [(5_000.0, 2), (5.5, 1)])
-def test_a_keyed_request_is_sent_again_inside_its_window_only(window: float, times: int) -> None:
+def test_a_keyed_request_is_retried_within_its_window_only(window: float, times: int) -> None:
     classes = tuple(replace(c, window_ms=window) if c.name == "keyed" else c for c in CLASSES)
 
     async def slow_reset(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -222,8 +222,8 @@
     run(test())
 
 
-async def races(rig: Rig, end: Callable[[], None], gate: asyncio.Event) -> None:
-    """A request is out, its node holds the answer back, and something else ends it first."""
+async def end_before_answer(rig: Rig, end: Callable[[], None], gate: asyncio.Event) -> None:
+    """Ends a request by something else while its node holds the answer back."""
     client = await rig.connect()
     client.send()
     await until(lambda: rig.sent)
@@ -233,7 +233,7 @@
     assert not rig.host.balancer.pending
 
 
-def test_a_client_that_leaves_ends_its_request_and_late_bytes_are_dropped() -> None:
+def test_a_disconnected_client_ends_its_request_and_a_late_answer_is_dropped() -> None:
     gate = asyncio.Event()
 
     async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -242,15 +242,15 @@
 
     async def test() -> None:
         async with Rig(held) as rig:
-            told = rig.told(Outcome)
-            await races(rig, lambda: rig.clients[0].reset(), gate)
-            assert [o.status for o in told] == [Status.CANCELLED]
+            outcomes = rig.told(Outcome)
+            await end_before_answer(rig, lambda: rig.clients[0].reset(), gate)
+            assert [o.status for o in outcomes] == [Status.CANCELLED]
             assert (await rig.ask()).status == 200
 
     run(test())
 
 
-def test_at_the_deadline_the_client_gets_one_answer_and_the_late_one_is_dropped() -> None:
+def test_at_the_deadline_the_client_gets_one_answer_and_a_late_one_is_dropped() -> None:
     gate = asyncio.Event()
 
     async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -260,19 +260,19 @@
 
     async def test() -> None:
         async with rig:
-            told = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             client = await rig.connect()
             seen = await client.ask(X_Budget="0.15")
             assert seen.status in (503, 504)
             gate.set()
-            assert (await client.ask()).status == 200, "nothing of the late answer may stand before it"
-            assert [o.status for o in told] == [Status.TIMEOUT, Status.OK]
+            assert (await client.ask()).status == 200, "no bytes of the late answer may precede it"
+            assert [o.status for o in outcomes] == [Status.TIMEOUT, Status.OK]
 
     rig = Rig(held)
     run(test())
 
 
-def test_a_request_that_the_module_forgets_still_ends_at_its_deadline() -> None:
+def test_a_request_that_the_policy_ignores_ends_at_its_deadline() -> None:
     async def test() -> None:
         async with Rig() as rig:
             rig.host.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
@@ -282,7 +282,7 @@
     run(test())
 
 
-def test_a_failure_inside_the_module_costs_one_request() -> None:
+def test_an_exception_in_the_policy_fails_one_request_only() -> None:
     async def test() -> None:
         async with Rig() as rig:
             handle = rig.host.balancer.handle
