--- a/notchflow/net/attempt.py
+++ b/notchflow/net/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a cache node, and what its end proves."""
+"""One attempt at a node, and the outcome that its end proves."""
 
 from __future__ import annotations
 
@@ -15,175 +15,189 @@
 
 OK = Status.OK  # looked up for every request
 
-HOLD_MAX = 64 << 10  # bytes of an answer held whole, so that a broken one can be retried; more is streamed
+MAX_BUFFERED_BYTES = 64 << 10  # longer responses are streamed; one that breaks while buffered can be retried
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-class Courier(ConnectionHost, Protocol):
-    """What attempts need of the host."""
+class AttemptHost(ConnectionHost, Protocol):
+    """The host, as attempts use it."""
 
-    def outcome(self, attempt: Attempt, status: Status, answer: UpstreamResponse | None) -> None:
-        """An attempt has ended."""
+    def attempt_ended(self, attempt: Attempt, status: Status, response: UpstreamResponse | None) -> None:
+        """Reports the end of an attempt."""
 
     def await_descriptor(self, attempt: Attempt) -> None:
-        """An attempt waits for a descriptor to dial with."""
+        """Queues an attempt for a descriptor to dial with."""
 
-    def stream_started(self, attempt: Attempt, answer: UpstreamResponse) -> bool:
-        """A long answer begins; whether it is this one that the client gets."""
+    def stream_started(self, attempt: Attempt, response: UpstreamResponse) -> bool:
+        """A long response begins; whether it is the one that the client gets."""
 
 
 class Attempt:
-    """One attempt at a node. It ends once, with the outcome that the facts prove."""
+    """One attempt at a node. It ends once, with the most specific outcome that is certain."""
 
     __slots__ = (
         "host",
-        "open",
+        "request",
         "number",
         "node",
         "pool",
         "begun_at",
         "expires_at",
-        "before",
+        "start_before",
         "connection",
-        "over",
-        "started",
-        "hold_max",
-        "timer",
-        "unfinished",
+        "ended",
+        "streaming",
+        "max_buffered",
+        "timeout_timer",
+        "request_incomplete",
     )
 
     def __init__(
         self,
-        host: Courier,
-        item: ActiveRequest,
+        host: AttemptHost,
+        active: ActiveRequest,
         number: int,
         node: int,
         pool: Pool,
         now: float,
-        expires: float,
-        before: float,
+        expires_at: float,
+        start_before: float,
     ) -> None:
-        self.host, self.open = host, item
+        self.host, self.request = host, active
         self.number, self.node, self.pool = number, node, pool
-        self.begun_at, self.expires_at, self.before = now, expires, before
+        self.begun_at, self.expires_at, self.start_before = now, expires_at, start_before
         self.connection: Connection | None = None
-        self.over = self.started = False
-        self.hold_max = HOLD_MAX
-        self.timer: TimerId | None = None
-        self.unfinished = False
-
-    def chunks(self, now: float) -> list[bytes]:
-        """The request as it goes out; its budget is what this attempt has left."""
-        call = self.open.client_request
-        if call.streams_body:
-            self.unfinished = not call.body_complete
-            call.client.set_body_wanted(True)
+        self.ended = self.streaming = False
+        self.max_buffered = MAX_BUFFERED_BYTES
+        self.timeout_timer: TimerId | None = None
+        self.request_incomplete = False
+
+    def request_data(self, now: float) -> list[bytes]:
+        """The bytes to send. X-Budget is the time that this attempt has left."""
+        request = self.request.client_request
+        if request.streams_body:
+            self.request_incomplete = not request.body_complete
+            request.client.set_body_wanted(True)
         left = max(self.expires_at - now, 1.0) / 1e3
         head = b"%b %b HTTP/1.1\r\nX-Budget: %.3f\r\n%b\r\n"
-        data = [head % (call.method, call.url, left, b"".join(call.forwarded_headers)), *call.body]
-        if call.chunked:
-            data[1:] = [_chunk(piece) for piece in call.body]
-            if call.body_complete:
+        data = [
+            head % (request.method, request.url, left, b"".join(request.forwarded_headers)),
+            *request.body,
+        ]
+        if request.chunked:
+            data[1:] = [_chunk(piece) for piece in request.body]
+            if request.body_complete:
                 data.append(LAST_CHUNK)
         return data
 
-    def more(self, pieces: Sequence[bytes]) -> None:
-        """Further pieces of the body; before there is a connection they are held with the rest."""
+    def send_body(self, pieces: Sequence[bytes]) -> None:
+        """Sends further pieces of the body; before there is a connection they stay buffered in the
+        request."""
         if self.connection is not None:
-            self.connection.more([_chunk(p) for p in pieces] if self.open.client_request.chunked else pieces)
+            self.connection.send_body(
+                [_chunk(p) for p in pieces] if self.request.client_request.chunked else pieces
+            )
 
-    def body_ended(self) -> None:
-        """The body is whole: from now on the node's time counts, and the request can run."""
-        self.unfinished = False
+    def end_body(self) -> None:
+        """The body is complete, so that the request can run from now on."""
+        self.request_incomplete = False
         if self.connection is not None:
-            self.connection.more((LAST_CHUNK,) if self.open.client_request.chunked else ())
+            self.connection.send_body((LAST_CHUNK,) if self.request.client_request.chunked else ())
 
     def is_writing_to(self, pools: Collection[object]) -> bool:
-        """Whether it goes to one of these pools, and a part of the request is still to be written."""
-        return self.pool in pools and self.connection is not None and not self.connection.sent
-
-    def blocked(self, on: bool) -> None:
-        """The node reads more slowly than the body comes, or has caught up."""
-        if not self.over:
-            self.open.client_request.client.set_body_wanted(not on)
-
-    def stream(self, answer: UpstreamResponse) -> bool:
-        """An answer too long to be held has begun; whether it goes on to the client."""
-        if answer.code != 200 or self.unfinished:
-            self._end(_status(answer, not self.unfinished))
+        """Whether it uses one of these pools and has not written the whole request yet."""
+        return self.pool in pools and self.connection is not None and not self.connection.request_sent
+
+    def set_write_blocked(self, on: bool) -> None:
+        """The node reads more slowly than the body arrives, or has caught up."""
+        if not self.ended:
+            self.request.client_request.client.set_body_wanted(not on)
+
+    def begin_stream(self, response: UpstreamResponse) -> bool:
+        """A response too long to buffer has begun; whether it is passed on to the client."""
+        if response.code != 200 or self.request_incomplete:
+            self._end(_status(response, not self.request_incomplete))
             return False
-        self.started = True
-        if not self.host.stream_started(self, answer):
+        self.streaming = True
+        if not self.host.stream_started(self, response):
             self._end(Status.CANCELLED)
             return False
         return True
 
-    def streamed(self, data: bytes) -> None:
-        """A part of a large answer."""
-        self.open.client_request.client.stream(data)
+    def stream_data(self, data: bytes) -> None:
+        """Passes on a part of a streamed response."""
+        self.request.client_request.client.stream(data)
 
-    def answered(self, answer: UpstreamResponse, sent: bool) -> None:
-        """A whole answer has come."""
-        if not self.over:
-            self.over = True
-            self.host.outcome(self, _status(answer, sent), answer)
+    def response_received(self, response: UpstreamResponse, sent: bool) -> None:
+        """A complete response has been received."""
+        if not self.ended:
+            self.ended = True
+            self.host.attempt_ended(self, _status(response, sent), response)
 
-    def failed(self, sent: bool) -> None:
-        """Its connection broke. `sent`: the request's last byte had been written."""
+    def connection_failed(self, sent: bool) -> None:
+        """The connection failed. `sent`: the last byte of the request had been written."""
         self._end(Status.RESET if sent else Status.CONNECT_FAILED)
 
-    def written(self) -> None:
-        """The last byte of the request has gone."""
-        counts = self.open.class_counts
+    def request_written(self) -> None:
+        """The last byte of the request has been written."""
+        counts = self.request.class_counts
         if counts is not None:
             counts.relayed += 1
-        if self.open.client_request.streams_body:  # a body that took its time is no sign of a slow node
-            self.begun_at = self.host.clock.now()
-
-    def wanted(self, now: float) -> bool:
-        """Whether its request is in hand, its client there, and an earlier attempt still remembered."""
-        item = self.open
-        return not (self.over or item.done or now >= self.before or item.client_request.client.has_left(now))
-
-    def no_descriptor(self) -> None:
-        """There is none to dial with: it waits for one."""
+        if self.request.client_request.streams_body:
+            self.begun_at = self.host.clock.now()  # its transfer must not count as the node's latency
+
+    def may_start(self, now: float) -> bool:
+        """Whether the request is unanswered, its client connected, and `start_before` not reached. After that
+        a node may have forgotten an earlier attempt under the same key."""
+        active = self.request
+        return not (
+            self.ended
+            or active.done
+            or now >= self.start_before
+            or active.client_request.client.has_left(now)
+        )
+
+    def await_descriptor(self) -> None:
+        """Waits for a descriptor to dial with."""
         self.host.await_descriptor(self)
 
-    def unsent(self, _: object = None) -> None:
-        """No descriptor came free in time, or it was too late once there was a connection."""
+    def not_sent(self, _: object = None) -> None:
+        """Nothing was sent: no descriptor came free in time, or the attempt may no longer start."""
         self._end(Status.MOOT)
 
     def abandon(self, status: Status) -> None:
-        """Stops waiting. Before its last byte was written a request cannot have run."""
-        if status is Status.TIMEOUT and (self.connection is None or not self.connection.sent):
+        """Ends the attempt with this status. A timeout before the last byte was written becomes
+        CONNECT_FAILED, as the request cannot have run."""
+        if status is Status.TIMEOUT and (self.connection is None or not self.connection.request_sent):
             status = Status.CONNECT_FAILED
         self._end(status)
 
     def _end(self, status: Status) -> None:
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         if self.connection is not None:
             self.connection.abandon()
             self.connection = None
         else:
-            self.pool.give_up(self)
-        self.host.outcome(self, status, None)
+            self.pool.cancel_dial(self)
+        self.host.attempt_ended(self, status, None)
 
 
-def _status(answer: UpstreamResponse, sent: bool) -> Status:
-    if answer.code == 200 and sent:
+def _status(response: UpstreamResponse, sent: bool) -> Status:
+    if response.code == 200 and sent:
         return OK
-    if answer.code in (503, 504) and answer.headers.get(b"x-rejected") == b"1":
+    if response.code in (503, 504) and response.headers.get(b"x-rejected") == b"1":
         return Status.FULL
-    if answer.code == 200:
-        return Status.RESET  # before the request was written whole, this cannot be its answer
+    if response.code == 200:
+        return Status.RESET  # sent before the whole request was written: not its response
     return Status.ERROR
 
 
-def load_report(answer: UpstreamResponse, names: Sequence[str]) -> dict[str, float] | None:
-    """The figures of a node's load report under the module's names; none where it has no readable one."""
-    raw = answer.headers.get(b"x-load-report")
+def load_report(response: UpstreamResponse, names: Sequence[str]) -> dict[str, float] | None:
+    """The requested fields of a node's load report, under the names that the policy uses; none if it is
+    missing or malformed."""
+    raw = response.headers.get(b"x-load-report")
     if raw is None or not names:
         return None
     try:
--- a/notchflow/net/clock.py
+++ b/notchflow/net/clock.py
@@ -1,4 +1,4 @@
-"""The proxy's time."""
+"""The clock of the proxy."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 
 class Clock:
-    """Unix time in milliseconds at the start, then monotonic: steps of the wall clock do no harm."""
+    """Unix time in milliseconds when created, monotonic from then on: changes of the wall clock have no
+    effect."""
 
     __slots__ = ("offset_ms", "loop")
 
@@ -16,9 +17,9 @@
         self.offset_ms = (time.time() - time.monotonic()) * 1e3
 
     def now(self) -> float:
-        """The present moment."""
+        """The current time."""
         return self.offset_ms + time.monotonic() * 1e3
 
     def loop_time(self) -> float:
-        """The time at which the loop's present turn began."""
+        """The time at which the current iteration of the event loop began."""
         return self.offset_ms + self.loop.time() * 1e3
--- a/notchflow/net/connection.py
+++ b/notchflow/net/connection.py
@@ -1,4 +1,5 @@
-"""A connection to a cache node: one exchange at a time, its answer parsed; and for how long one may rest."""
+"""A connection to a node, which carries one exchange at a time and parses its response, and the limit on its
+idle time."""
 
 from __future__ import annotations
 
@@ -14,236 +15,245 @@
 
 log = logging.getLogger(__name__)
 
-HEAD_MAX = 32 << 10
-LENGTH_MAX = 32 << 20  # no value is so long: who announces more is spoilt, and another node may still serve
-RETIRE_SHARE = 0.7
-STALE_WITHIN_MS = 50.0
-AGES_MS = (0.0, 20.0, 30.0, 45.0, 70.0, 100.0, 150.0, 225.0, 340.0, 500.0, 1_000.0, 2_000.0, 5_000.0)
-DIAL_COST = 0.15
-GAIN_MIN = 2.0
-FADE_MS = 30_000.0
-OWN = frozenset({b"x-rejected", b"x-hit", b"x-load-report"})
+MAX_HEAD_BYTES = 32 << 10
+MAX_RESPONSE_BYTES = 32 << 20  # no value is longer: more is a fault of the node, and another one may serve
+USABLE_IDLE_SHARE = 0.7  # of the idle time that the settings state
+STALE_CONNECTION_MS = 50.0  # a reused connection that fails this soon was closed while idle
+IDLE_BUCKETS_MS = (0.0, 20.0, 30.0, 45.0, 70.0, 100.0, 150.0, 225.0, 340.0, 500.0, 1_000.0, 2_000.0, 5_000.0)
+DIAL_COST = 0.15  # of a new connection, in failed requests
+MIN_GAIN = 2.0  # failed requests that a lower limit must save
+DECAY_INTERVAL_MS = 30_000.0
+CONSUMED_HEADERS = frozenset({b"x-rejected", b"x-hit", b"x-load-report"})
 
 
 class IdleLimit:
-    """How long a connection may have been idle and still be used.
+    """How long a connection may have been idle and still be reused.
 
-    Nodes may drop idle connections earlier than the settings say, and a request that crosses that ends as a
-    reset: lost, where it must not run twice. But on a bad network connections of any age break, and new ones
-    would only cost more: what counts is how many more break than among the younger ones. The nodes run one
-    program, so what one shows holds for all.
+    Nodes may close idle connections earlier than the settings say. A request sent at that moment ends as a
+    reset, and fails if it must not run twice. On a bad network, however, connections of any age break, and
+    dialling new ones only costs more: so the limit depends on how many more reuses fail than on connections
+    that were idle for a shorter time. All nodes run the same program, so that one limit serves them all.
     """
 
-    __slots__ = ("configured_ms", "limit_ms", "uses", "breaks", "faded_at")
+    __slots__ = ("configured_ms", "limit_ms", "uses", "failures", "decayed_at")
 
     def __init__(self, conn_idle_ms: float) -> None:
-        self.configured_ms = self.limit_ms = RETIRE_SHARE * conn_idle_ms
-        self.uses = [0.0] * (len(AGES_MS) + 1)
-        self.breaks = [0.0] * (len(AGES_MS) + 1)
-        self.faded_at = 0.0
+        self.configured_ms = self.limit_ms = USABLE_IDLE_SHARE * conn_idle_ms
+        self.uses = [0.0] * (len(IDLE_BUCKETS_MS) + 1)
+        self.failures = [0.0] * (len(IDLE_BUCKETS_MS) + 1)
+        self.decayed_at = 0.0
 
     def configure(self, conn_idle_ms: float) -> None:
-        """The settings state another time."""
-        self.configured_ms = RETIRE_SHARE * conn_idle_ms
+        """Applies the idle time that the settings now state, in milliseconds."""
+        self.configured_ms = USABLE_IDLE_SHARE * conn_idle_ms
         self.limit_ms = min(self.limit_ms, self.configured_ms)
-        self._judge()
+        self._update_limit()
 
-    def count(self, age: float | None, broken: bool) -> None:
-        """One use of a connection of this age, none for a new one, and whether it broke."""
-        self.uses[0 if age is None else bisect_right(AGES_MS, age)] += 1
-        if broken:
-            self.breaks[0 if age is None else bisect_right(AGES_MS, age)] += 1
-            self._judge()
+    def record_use(self, idle_ms: float | None, failed: bool) -> None:
+        """Counts a use of a connection, whether it failed, and for how long it was idle; none for a new
+        one."""
+        self.uses[0 if idle_ms is None else bisect_right(IDLE_BUCKETS_MS, idle_ms)] += 1
+        if failed:
+            self.failures[0 if idle_ms is None else bisect_right(IDLE_BUCKETS_MS, idle_ms)] += 1
+            self._update_limit()
 
     def decay(self, now: float) -> None:
-        """Halves the counts from time to time, so that what has passed is forgotten."""
-        if now >= self.faded_at + FADE_MS:
-            self.faded_at = now
+        """Halves the counts every DECAY_INTERVAL_MS, so that old failures are forgotten."""
+        if now >= self.decayed_at + DECAY_INTERVAL_MS:
+            self.decayed_at = now
             self.uses = [n / 2 for n in self.uses]
-            self.breaks = [n / 2 for n in self.breaks]
-            self._judge()
-
-    def _judge(self) -> None:
-        """Gives up the ages beyond the edge at which that saves most, if it saves anything for certain."""
-        best, edge = (GAIN_MIN / 2 if self.limit_ms < self.configured_ms else GAIN_MIN), self.configured_ms
-        uses, breaks = self.uses[0], self.breaks[0]
-        old_uses, old_breaks = sum(self.uses) - uses, sum(self.breaks) - breaks
-        for step, age in enumerate(AGES_MS, 1):
-            gain = old_breaks - old_uses * (breaks / max(uses, 1.0) + DIAL_COST)
+            self.failures = [n / 2 for n in self.failures]
+            self._update_limit()
+
+    def _update_limit(self) -> None:
+        """Sets the limit to the idle time beyond which dialling instead saves the most failures, if the gain
+        is significant."""
+        best, limit_ms = (
+            (MIN_GAIN / 2 if self.limit_ms < self.configured_ms else MIN_GAIN),
+            self.configured_ms,
+        )
+        uses, failures = self.uses[0], self.failures[0]
+        old_uses, old_failures = sum(self.uses) - uses, sum(self.failures) - failures
+        for step, idle_ms in enumerate(IDLE_BUCKETS_MS, 1):
+            gain = old_failures - old_uses * (failures / max(uses, 1.0) + DIAL_COST)
             if gain >= best:
-                best, edge = gain, age
-            uses, breaks = uses + self.uses[step], breaks + self.breaks[step]
-            old_uses, old_breaks = old_uses - self.uses[step], old_breaks - self.breaks[step]
-        self.limit_ms = min(edge, self.configured_ms)
+                best, limit_ms = gain, idle_ms
+            uses, failures = uses + self.uses[step], failures + self.failures[step]
+            old_uses, old_failures = old_uses - self.uses[step], old_failures - self.failures[step]
+        self.limit_ms = min(limit_ms, self.configured_ms)
 
 
 class Exchange(Protocol):
-    """One request and its answer on an upstream connection: `answered` or `failed` ends it, once."""
+    """One request and its response on an upstream connection. `response_received` or `connection_failed` ends
+    it, once."""
 
     connection: Connection | None
-    hold_max: int
-    unfinished: bool  # more of the request is to come
+    max_buffered: int
+    request_incomplete: bool  # more of the body will follow
 
-    def chunks(self, now: float) -> list[bytes]:
-        """The request's bytes; `now` tells what is left of its time."""
+    def request_data(self, now: float) -> list[bytes]:
+        """The bytes to send; the remaining budget follows from `now`."""
 
-    def stream(self, answer: UpstreamResponse) -> bool:
-        """An answer too long to be held has begun; whether it is wanted."""
+    def begin_stream(self, response: UpstreamResponse) -> bool:
+        """A response too long to buffer has begun; whether it is wanted."""
 
-    def streamed(self, data: bytes) -> None:
-        """A part of such an answer."""
+    def stream_data(self, data: bytes) -> None:
+        """A part of a streamed response."""
 
-    def answered(self, answer: UpstreamResponse, sent: bool) -> None:
-        """A whole answer. `sent`: the request's last byte had been written before."""
+    def response_received(self, response: UpstreamResponse, sent: bool) -> None:
+        """A complete response. `sent`: the last byte of the request had been written before."""
 
-    def failed(self, sent: bool) -> None:
-        """The connection broke. `sent`: the request's last byte had been written."""
+    def connection_failed(self, sent: bool) -> None:
+        """The connection failed. `sent`: the last byte of the request had been written."""
 
-    def wanted(self, now: float) -> bool:
-        """Whether it may still begin: asked at a new connection, before the first byte goes out."""
+    def may_start(self, now: float) -> bool:
+        """Whether it may still start; asked before the first byte is sent on a new connection."""
 
-    def no_descriptor(self) -> None:
-        """There is none to dial with."""
+    def await_descriptor(self) -> None:
+        """No descriptor is left to dial with."""
 
-    def unsent(self, _: object = None) -> None:
-        """Nothing of it went out, and the node is not to blame."""
+    def not_sent(self, _: object = None) -> None:
+        """Nothing was sent, which is not the node's fault."""
 
-    def written(self) -> None:
-        """The request's last byte has gone to the kernel."""
+    def request_written(self) -> None:
+        """The last byte of the request has been passed to the kernel."""
 
-    def blocked(self, on: bool) -> None:
-        """The node reads more slowly than the request comes, or has caught up."""
+    def set_write_blocked(self, on: bool) -> None:
+        """The node reads more slowly than the request arrives, or has caught up."""
 
 
-class Owner(Protocol):
+class ConnectionPool(Protocol):
     """The pool that a connection belongs to."""
 
     host: ConnectionHost
-    limit: IdleLimit
+    idle_limit: IdleLimit
 
     def opened(self, connection: Connection) -> None:
-        """The connection is open."""
+        """The connection has been established."""
 
     def closed(self, connection: Connection) -> None:
-        """The connection has ended."""
+        """The connection has been closed."""
 
     def release(self, connection: Connection) -> None:
-        """The connection's exchange is over; it can carry another."""
+        """The exchange has ended, and the connection can be reused."""
 
 
 class Connection(asyncio.Protocol):
-    """A connection to a node; it carries one exchange at a time."""
+    """A connection to a node, or to discovery, which carries one exchange at a time."""
 
     __slots__ = (
         "pool",
         "transport",
         "parser",
         "exchange",
-        "answer",
+        "response",
         "in_head",
         "head_size",
         "complete",
-        "surplus",
+        "unexpected_data",
         "streaming",
-        "delimited",
-        "keep",
-        "sent",
-        "counted",
+        "ends_at_eof",
+        "keep_alive",
+        "request_sent",
+        "holds_descriptor",
         "idle_since",
         "last_read_at",
         "begun_at",
-        "age",
-        "held",
+        "idle_ms",
+        "paused",
         "read_limit_reached",
     )
 
-    def __init__(self, pool: Owner) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.parser: HttpResponseParser | None = None
         self.exchange: Exchange | None = None
-        self.answer = UpstreamResponse()
-        self.in_head = self.complete = self.surplus = self.streaming = self.delimited = self.keep = False
+        self.response = UpstreamResponse()
+        self.in_head = self.complete = self.unexpected_data = self.streaming = self.ends_at_eof = (
+            self.keep_alive
+        ) = False
         self.head_size = 0
-        self.sent = False  # the request's last byte has gone to the kernel
-        self.counted = True  # against the budget of descriptors
+        self.request_sent = False  # the last byte of the request has been passed to the kernel
+        self.holds_descriptor = True  # counted against the limit on descriptors
         self.idle_since = self.last_read_at = self.begun_at = 0.0
-        self.age: float | None = None
-        self.held = False  # the client reads more slowly than the answer comes
-        self.read_limit_reached = False  # enough of an answer was read in this turn of the loop
+        self.idle_ms: float | None = None
+        self.paused = False  # the client reads more slowly than the response arrives
+        self.read_limit_reached = False  # enough was read in this iteration of the event loop
 
     # -- the transport's callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: the connection is open. Its owner hears a turn later."""
+        """asyncio: the connection is established. The pool is notified in the next loop iteration."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # so resume_writing tells that the last byte has gone
+        self.transport.set_write_buffer_limits(high=0)  # resume_writing is called once the last byte has gone
         self.pool.host.call_soon(self._opened, None)
 
     def _opened(self, _: object) -> None:
-        """A turn later: the end of a client that lay unread beside this has been read by now."""
+        """One loop iteration later, when a client's close that was ready at the same time has been read."""
         if self.transport is not None:
             self.pool.opened(self)
 
     def pause_writing(self) -> None:
-        """asyncio: the node reads more slowly than the request comes."""
-        if self.exchange is not None and self.exchange.unfinished:
-            self.exchange.blocked(True)
+        """asyncio: the node reads more slowly than the request arrives."""
+        if self.exchange is not None and self.exchange.request_incomplete:
+            self.exchange.set_write_blocked(True)
 
     def resume_writing(self) -> None:
-        """asyncio: all that was written has gone to the kernel."""
-        if self.exchange is not None and self.exchange.unfinished:
-            self.exchange.blocked(False)
-        elif not self.sent:
-            self.sent = True
+        """asyncio: everything written has been passed to the kernel."""
+        if self.exchange is not None and self.exchange.request_incomplete:
+            self.exchange.set_write_blocked(False)
+        elif not self.request_sent:
+            self.request_sent = True
             if self.exchange is not None:
-                self.exchange.written()
+                self.exchange.request_written()
 
-    def more(self, pieces: Sequence[bytes]) -> None:
-        """Further pieces of an unfinished request; none, where its end is all there is to tell."""
+    def send_body(self, pieces: Sequence[bytes]) -> None:
+        """Sends further pieces of the body; none, if the request has just become complete."""
         if self.transport is None or self.exchange is None:
             return
         if pieces:
             self.transport.writelines(pieces)
-        self._if_sent()
+        self._check_request_sent()
 
-    def hold(self, on: bool) -> None:
-        """Reads no more of an answer, as its client is slow, or goes on."""
-        self.held = on
-        self._read_on()
+    def set_paused(self, on: bool) -> None:
+        """Pauses or resumes reading the response, as its client is slow or has caught up."""
+        self.paused = on
+        self._update_reading()
 
-    def _end_turn(self) -> None:
-        """Leaves the rest of a long answer for the next turn of the loop, which else reads 8 MiB at once."""
+    def _pause_until_next_turn(self) -> None:
+        """Leaves the rest of a long response to the next loop iteration; the loop would read up to 8 MiB at
+        once."""
         if not self.read_limit_reached and self.transport is not None:
             self.read_limit_reached = True
-            self._read_on()
+            self._update_reading()
             self.pool.host.call_soon(self._next_turn, None)
 
     def _next_turn(self, _: object = None) -> None:
         self.read_limit_reached = False
-        self._read_on()
+        self._update_reading()
 
-    def _read_on(self) -> None:
+    def _update_reading(self) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.held or self.read_limit_reached:
+        if self.paused or self.read_limit_reached:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
-    def _if_sent(self) -> None:
-        # A failed write leaves nothing in the buffer either, but begins to close.
+    def _check_request_sent(self) -> None:
+        # A failed write empties the buffer as well, but starts to close the transport.
         assert self.transport is not None and self.exchange is not None
         if (
-            not self.sent
-            and not self.exchange.unfinished
+            not self.request_sent
+            and not self.exchange.request_incomplete
             and not self.transport.get_write_buffer_size()
             and not self.transport.is_closing()
         ):
-            self.sent = True
-            self.exchange.written()
+            self.request_sent = True
+            self.exchange.request_written()
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes of the answer."""
+        """asyncio: bytes of the response."""
         if self.exchange is None or self.parser is None:
             self.close()
             return
@@ -252,150 +262,152 @@
             self.parser.feed_data(data)
         except HttpParserError as error:
             if not self.complete:
-                log.warning("a node sent a malformed answer: %s", error)
-                self._fail()
+                log.warning("malformed response from a node: %s", error)
+                self._end_failed()
                 return
-            self.surplus = True
+            self.unexpected_data = True
         if self.complete:
-            self._finish()
+            self._end_answered()
         elif self.streaming:
-            self._end_turn()
+            self._pause_until_next_turn()
         elif self.in_head:
             self.head_size += len(data)
-            if self.head_size > HEAD_MAX:
-                log.warning("a node sent a head of over %d bytes", HEAD_MAX)
-                self._fail()
+            if self.head_size > MAX_HEAD_BYTES:
+                log.warning("response head from a node exceeds %d bytes", MAX_HEAD_BYTES)
+                self._end_failed()
 
     def eof_received(self) -> bool:
-        """asyncio: the node sends no more, which ends an answer without a length."""
-        if self.exchange is not None and self.delimited and not self.in_head:
-            self.surplus = True
-            self._finish()
+        """asyncio: end of stream, which completes a response without a length."""
+        if self.exchange is not None and self.ends_at_eof and not self.in_head:
+            self.unexpected_data = True
+            self._end_answered()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection has ended, and with it its exchange."""
+        """asyncio: the connection is closed, which ends its exchange."""
         self.transport = None
-        self.parser = None  # it holds bound methods of this object
+        self.parser = None  # it refers to bound methods of this object: a reference cycle
         self.pool.closed(self)
-        self._fail()
+        self._end_failed()
 
     # -- the exchange
-    def start(self, exchange: Exchange, now: float, age: float | None = None) -> None:
-        """Carries an exchange. `age`: for how long the connection was idle, none for a new one."""
+    def start(self, exchange: Exchange, now: float, idle_ms: float | None = None) -> None:
+        """Starts an exchange. `idle_ms`: for how long the connection was idle, none for a new one."""
         assert self.transport is not None
         if self.parser is None:
             self.parser = HttpResponseParser(self)
-        self.begun_at, self.age = now, age
+        self.begun_at, self.idle_ms = now, idle_ms
         self.exchange, exchange.connection = exchange, self
-        self.answer = UpstreamResponse()
+        self.response = UpstreamResponse()
         self.in_head, self.head_size = True, 0
-        self.complete = self.surplus = self.streaming = self.delimited = self.keep = self.sent = False
-        if self.held:  # the last answer ended just as its client was too slow for it
-            self.hold(False)
-        self.transport.writelines(exchange.chunks(now))
-        self._if_sent()
+        self.complete = self.unexpected_data = self.streaming = self.ends_at_eof = self.keep_alive = (
+            self.request_sent
+        ) = False
+        if self.paused:  # the last response ended while its client was too slow for it
+            self.set_paused(False)
+        self.transport.writelines(exchange.request_data(now))
+        self._check_request_sent()
 
     def abandon(self) -> None:
-        """The exchange is given up: its answer is not wanted any more."""
+        """Abandons the exchange and closes the connection, as its response is no longer wanted."""
         self.exchange = None
         self.close()
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
-    def _fail(self) -> None:
+    def _end_failed(self) -> None:
         exchange, self.exchange = self.exchange, None
         self.close()
         if exchange is not None:
             silent = self.in_head and not self.head_size
-            self.pool.limit.count(
-                self.age, silent and self.pool.host.clock.now() < self.begun_at + STALE_WITHIN_MS
+            self.pool.idle_limit.record_use(
+                self.idle_ms, silent and self.pool.host.clock.now() < self.begun_at + STALE_CONNECTION_MS
             )
             exchange.connection = None
-            exchange.failed(self.sent)
+            exchange.connection_failed(self.request_sent)
 
-    def _finish(self) -> None:
+    def _end_answered(self) -> None:
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
         exchange.connection = None
-        answer, sent = self.answer, self.sent
-        keep = sent and self.keep and not self.surplus
-        self.pool.limit.count(self.age, False)
-        if keep and self.transport is not None and not self.transport.is_closing():
+        response, sent = self.response, self.request_sent
+        reusable = sent and self.keep_alive and not self.unexpected_data
+        self.pool.idle_limit.record_use(self.idle_ms, False)
+        if reusable and self.transport is not None and not self.transport.is_closing():
             self.pool.release(self)
         else:
             self.close()
-        exchange.answered(answer, sent)
+        exchange.response_received(response, sent)
 
     # -- the parser's callbacks
     def on_message_begin(self) -> None:
-        """Parser: an answer begins."""
+        """Parser: a response begins."""
         if self.complete:
-            self.surplus = True
+            self.unexpected_data = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser: a field of the head."""
+        """Parser: a header field."""
         if not self.in_head or self.complete:
-            return  # trailers, or a second answer that nobody asked for
-        low, answer = name.lower(), self.answer
-        if low in OWN or low in HOP_BY_HOP:
-            answer.headers[low] = value
+            return  # trailers, or an unsolicited second response
+        low, response = name.lower(), self.response
+        if low in CONSUMED_HEADERS or low in HOP_BY_HOP:
+            response.headers[low] = value
         else:
-            answer.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
+            response.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """Parser: the head is whole."""
+        """Parser: the head is complete."""
         if self.complete or self.parser is None or self.exchange is None:
             return
         code = self.parser.get_status_code()
-        answer = self.answer
+        response = self.response
         if 100 <= code < 200:
-            answer.headers.clear()
-            answer.forwarded_headers.clear()
-            return  # an interim answer: the final one follows
+            response.headers.clear()
+            response.forwarded_headers.clear()
+            return  # an interim response: the final one follows
         self.in_head = False
-        answer.code, answer.begun_at = code, self.last_read_at
-        if b"content-length" in answer.headers:
-            answer.length = int(answer.headers[b"content-length"])
-        elif b"transfer-encoding" not in answer.headers:
-            self.delimited = True
-        named = answer.headers.get(b"connection")
-        if named is not None and answer.forwarded_headers:
+        response.code, response.begun_at = code, self.last_read_at
+        if b"content-length" in response.headers:
+            response.length = int(response.headers[b"content-length"])
+        elif b"transfer-encoding" not in response.headers:
+            self.ends_at_eof = True
+        named = response.headers.get(b"connection")
+        if named is not None and response.forwarded_headers:
             drop = tuple(t.strip().lower() + b":" for t in named.split(b","))
-            answer.forwarded_headers = [
-                line for line in answer.forwarded_headers if not line.lower().startswith(drop)
+            response.forwarded_headers = [
+                line for line in response.forwarded_headers if not line.lower().startswith(drop)
             ]
-        if answer.length is None or answer.length <= self.exchange.hold_max:
+        if response.length is None or response.length <= self.exchange.max_buffered:
             return
-        if answer.length > LENGTH_MAX:
-            log.warning("a node announced an answer of %d bytes", answer.length)
-            self._fail()
+        if response.length > MAX_RESPONSE_BYTES:
+            log.warning("response from a node announces %d bytes, more than allowed", response.length)
+            self._end_failed()
         else:
-            self._stream()
+            self._begin_stream()
 
     def on_body(self, data: bytes) -> None:
         """Parser: a part of the body."""
         if self.complete or self.exchange is None:
             return
         if self.streaming:
-            self.exchange.streamed(data)
+            self.exchange.stream_data(data)
             return
-        answer = self.answer
-        answer.body_size += len(data)
-        answer.body.append(data)
-        if answer.body_size > self.exchange.hold_max:
-            self._stream()
+        response = self.response
+        response.body_size += len(data)
+        response.body.append(data)
+        if response.body_size > self.exchange.max_buffered:
+            self._begin_stream()
 
     def on_message_complete(self) -> None:
-        """Parser: the answer is whole."""
+        """Parser: the response is complete."""
         if not self.in_head and self.parser is not None and self.exchange is not None:
             self.complete = True
-            self.keep = self.parser.should_keep_alive()  # the parser forgets it with this call
+            self.keep_alive = self.parser.should_keep_alive()  # not available after this callback
 
-    def _stream(self) -> None:
+    def _begin_stream(self) -> None:
         assert self.exchange is not None
-        self.streaming = self.exchange.stream(self.answer)
-        self.answer.body.clear()
+        self.streaming = self.exchange.begin_stream(self.response)
+        self.response.body.clear()
--- a/notchflow/net/discovery.py
+++ b/notchflow/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of cache nodes, followed by calls as `watch` says."""
+"""The discovery client: performs the calls that `watch` decides on, and applies the lists of nodes."""
 
 from __future__ import annotations
 
@@ -16,21 +16,29 @@
 from notchflow.net.timers import TimerId, TimerWheel
 from notchflow.net.watch import ApplyList, CancelCall, ListWatch, ReportFailure, StartCall, WatchAction
 
-__all__ = ["Address", "Call", "Discovery", "NodeList", "decode_node_list", "node_id", "parse_address"]
+__all__ = [
+    "Address",
+    "DiscoveryCall",
+    "Discovery",
+    "NodeList",
+    "decode_node_list",
+    "node_id",
+    "parse_address",
+]
 
 log = logging.getLogger(__name__)
 
 REQUEST = b"GET /registry/instances%b HTTP/1.1\r\nHost: discovery\r\n\r\n"
-LIST_MAX = 4 << 20  # bytes of one answer: some ten thousand nodes; more is a fault, and memory is scarce
-CONNECT_MS = 1_000.0
-IDLE_MS = 1_000.0  # the next call leaves at once, or it is a new beginning
-PATIENCE_MS = 500.0  # a new process waits so long to hear what the agent has, before it says that it is ready
+MAX_LIST_BYTES = 4 << 20  # of one response, some ten thousand nodes; memory is scarce
+CONNECT_TIMEOUT_MS = 1_000.0
+IDLE_TIMEOUT_MS = 1_000.0  # a following call leaves at once; after a longer pause a new connection is made
+INITIAL_LIST_TIMEOUT_MS = 500.0  # a new process delays readiness this long for a first answer
 
 
-class Reserve:
-    """The host as discovery's connections see it: their descriptors are kept apart, for a proxy that has used
-    up its own must hear of the list all the same. `host.RESERVED_DESCRIPTORS` counts the two that
-    may be open."""
+class ReservedDescriptors:
+    """The host, as connections to discovery use it. Their descriptors come from a reserve, so that a proxy
+    that has used up all others still receives the list. `host.RESERVED_DESCRIPTORS` includes the two that may
+    be open."""
 
     def __init__(self, host: DiscoveryHost) -> None:
         self.loop: asyncio.AbstractEventLoop = host.loop
@@ -40,30 +48,31 @@
         self.call_soon = host.call_soon
 
     def acquire_descriptor(self) -> bool:
+        """Always succeeds: the descriptors are reserved."""
         return True
 
     def release_descriptor(self) -> None:
-        """Nothing was counted."""
+        """Does nothing: these descriptors are not counted."""
 
     def has_waiting_dials(self) -> bool:
-        """These descriptors are nobody else's."""
+        """Never: no dial to a node waits for these descriptors."""
         return False
 
 
 class Discovery:
-    """Carries out what the watch decides: calls on sockets, lists to the host, failures to the module."""
+    """Executes the actions of the watch: makes calls, applies lists, reports failures to the policy."""
 
     def __init__(self, host: DiscoveryHost, address: Address | None, revision: int, seed: int) -> None:
         self.host = host
-        self.fixed = address is None  # nobody to ask: the list that is known is all there ever is
-        self.reserve = Reserve(host)
+        self.is_static = address is None  # no discovery service: the configured list never changes
+        self.connection_host = ReservedDescriptors(host)
         self.pool = self._pool(address or ("", 0))
         settings = host.settings
         self.list_watch = ListWatch(revision, settings.list_on_request, seed, settings.rules)
-        self.calls: dict[int, Call] = {}
+        self.calls: dict[int, DiscoveryCall] = {}
         self.timer: TimerId | None = None
         self.timer_at = float("inf")
-        self.patient_until = float("inf")
+        self.ready_at = float("inf")
 
     @property
     def revision(self) -> int | None:
@@ -77,75 +86,79 @@
 
     @property
     def list_is_current(self) -> bool:
-        """Whether the list is as new as may be expected of a new process."""
+        """Whether the list is recent enough for a new process to report readiness."""
         watch = self.list_watch
         return (
-            watch.heard_at is not None
+            watch.last_answer_at is not None
             or watch.on_request
-            or self.fixed
-            or self.host.clock.now() >= self.patient_until
+            or self.is_static
+            or self.host.clock.now() >= self.ready_at
         )
 
     def age_ms(self, now: float) -> float | None:
-        """For how long nothing was heard; none where nothing was heard yet."""
-        heard = self.list_watch.heard_at
-        return None if heard is None else now - heard
+        """Milliseconds since the last answer; none before the first."""
+        last_answer_at = self.list_watch.last_answer_at
+        return None if last_answer_at is None else now - last_answer_at
 
     def start(self) -> None:
-        """The process starts. Where lists are asked for the module says when to call first."""
-        self.patient_until = self.host.clock.now() + PATIENCE_MS
+        """Starts the watch. With lists on request, the policy decides when to make the first call."""
+        self.ready_at = self.host.clock.now() + INITIAL_LIST_TIMEOUT_MS
         if not self.host.settings.list_on_request:
             self.watch(True)
 
     def watch(self, on: bool) -> None:
-        """Begins the watch, or ends it after the answer that is out."""
-        if not self.fixed:
-            self._do(self.list_watch.set_wanted(self.host.clock.now(), on))
+        """Starts the watch, or ends it after the outstanding call."""
+        if not self.is_static:
+            self._execute(self.list_watch.set_wanted(self.host.clock.now(), on))
 
     def settings_changed(self) -> None:
-        """The settings are others."""
-        if not self.fixed:
+        """Applies the new settings of the host."""
+        if not self.is_static:
             settings = self.host.settings
-            self._do(self.list_watch.mode(self.host.clock.now(), settings.list_on_request, settings.rules))
+            self._execute(
+                self.list_watch.configure(self.host.clock.now(), settings.list_on_request, settings.rules)
+            )
 
     def change_address(self, address: Address) -> None:
-        """Goes on at another address, from the revision that is known."""
+        """Continues at another address, from the known revision."""
         if address == self.pool.address:
             return
-        log.info("discovery moves to %s:%d", *address)
-        self.fixed = False
+        log.info("discovery address changed to %s:%d", *address)
+        self.is_static = False
         self.pool.retire()
         self.pool = self._pool(address)
-        self._do(self.list_watch.restart(self.host.clock.now()))
+        self._execute(self.list_watch.restart(self.host.clock.now()))
 
     def _pool(self, address: Address) -> Pool:
-        return Pool(self.reserve, address, CONNECT_MS, IdleLimit(IDLE_MS))
+        return Pool(self.connection_host, address, CONNECT_TIMEOUT_MS, IdleLimit(IDLE_TIMEOUT_MS))
 
-    def ended(self, number: int, listing: NodeList | None, problem: str) -> None:
-        """A call has ended, with a list or without."""
+    def call_ended(self, number: int, node_list: NodeList | None, problem: str) -> None:
+        """A call has ended, with a list or with a problem."""
         del self.calls[number]
         now = self.host.clock.now()
-        if listing is None:
-            self._do(self.list_watch.failed(now, number, problem))
+        if node_list is None:
+            self._execute(self.list_watch.failed(now, number, problem))
         else:
-            self._do(self.list_watch.answered(now, number, listing, self.host.removes_all_nodes(listing)))
+            self._execute(
+                self.list_watch.answered(now, number, node_list, self.host.removes_all_nodes(node_list))
+            )
 
     def _wake(self, _: object = None) -> None:
         self.timer = None
-        self._do(self.list_watch.wake(self.host.clock.now()))
+        self._execute(self.list_watch.wake(self.host.clock.now()))
 
-    def _do(self, actions: list[WatchAction]) -> None:
+    def _execute(self, actions: list[WatchAction]) -> None:
         for action in actions:
             match action:
                 case StartCall(number, revision, wait_ms):
                     query = b"" if revision is None else b"?index=%d&wait=%d" % (revision, wait_ms)
-                    self.calls[number] = call = Call(self, number, REQUEST % query)
+                    self.calls[number] = call = DiscoveryCall(self, number, REQUEST % query)
                     self.pool.send(call, self.host.clock.now())
                 case CancelCall(number):
                     self.calls.pop(number).drop()
-                case ApplyList(listing, kind):
-                    self.host.apply(listing, kind)
-                    self.host.share_list(listing)
+                case ApplyList(node_list, kind):
+                    self.host.apply(node_list, kind)
+                    self.host.share_list(node_list)
                 case ReportFailure(problem, watched):
                     self.host.metrics.registry_failures += 1
                     log.warning("discovery: %s", problem)
@@ -164,74 +177,74 @@
             self.timer, self.timer_at = self.host.call_at(due, self._wake), due
 
 
-class Call:
-    """One call to discovery, as an exchange on a connection."""
+class DiscoveryCall:
+    """A call to discovery, as an exchange on a connection."""
 
-    hold_max = LIST_MAX
-    unfinished = False
+    max_buffered = MAX_LIST_BYTES
+    request_incomplete = False
 
     def __init__(self, discovery: Discovery, number: int, data: bytes) -> None:
         self.discovery, self.pool = discovery, discovery.pool
         self.number, self.data = number, data
         self.connection: Connection | None = None
-        self.over = False
+        self.ended = False
 
-    def chunks(self, now: float) -> list[bytes]:
-        """What is written."""
+    def request_data(self, now: float) -> list[bytes]:
+        """The bytes to send."""
         return [self.data]
 
-    def stream(self, answer: UpstreamResponse) -> bool:
-        """An answer too long to be a list ends the call."""
-        self._end(None, f"an answer of over {LIST_MAX} bytes")
+    def begin_stream(self, response: UpstreamResponse) -> bool:
+        """Fails the call: the response is too long to be a list."""
+        self._end(None, f"an answer of over {MAX_LIST_BYTES} bytes")
         return False
 
-    def streamed(self, data: bytes) -> None:
-        """Never called: nothing of discovery's is streamed."""
+    def stream_data(self, data: bytes) -> None:
+        """Never called: responses of discovery are not streamed."""
 
-    def answered(self, answer: UpstreamResponse, sent: bool) -> None:
-        """A whole answer: a list, or what is wrong with it."""
-        if answer.code != 200:
-            self._end(None, f"status {answer.code}")
+    def response_received(self, response: UpstreamResponse, sent: bool) -> None:
+        """Decodes a complete response; the call fails if it holds no valid list."""
+        if response.code != 200:
+            self._end(None, f"status {response.code}")
             return
         try:
-            listing = decode_node_list(json.loads(b"".join(answer.body)))
+            node_list = decode_node_list(json.loads(b"".join(response.body)))
         except (ValueError, RecursionError) as error:
             self._end(None, str(error)[:200])
             return
-        self._end(listing, "")
+        self._end(node_list, "")
 
-    def failed(self, sent: bool) -> None:
-        """The connection broke or did not come up."""
+    def connection_failed(self, sent: bool) -> None:
+        """The connection failed or could not be established."""
         self._end(None, "connection lost" if sent else "could not connect")
 
-    def wanted(self, now: float) -> bool:
-        """Whether the call is still to be made."""
-        return not self.over
+    def may_start(self, now: float) -> bool:
+        """Whether the call has not been cancelled."""
+        return not self.ended
 
-    def no_descriptor(self) -> None:
-        """Cannot be: its descriptors are kept apart."""
-        self.unsent()
+    def await_descriptor(self) -> None:
+        """Never called: the descriptors are reserved."""
+        self.not_sent()
 
-    def unsent(self, _: object = None) -> None:
-        """The call was not made."""
+    def not_sent(self, _: object = None) -> None:
+        """The call was not sent."""
         self._end(None, "not sent")
 
-    def written(self) -> None:
-        """Calls are not counted."""
+    def request_written(self) -> None:
+        """Does nothing: calls are not counted."""
 
-    def blocked(self, on: bool) -> None:
-        """Never called: a call is written whole."""
+    def set_write_blocked(self, on: bool) -> None:
+        """Never called: a call is written at once."""
 
-    def _end(self, listing: NodeList | None, problem: str) -> None:
-        if not self.over:
+    def _end(self, node_list: NodeList | None, problem: str) -> None:
+        if not self.ended:
             self.drop()
-            self.discovery.ended(self.number, listing, problem)
+            self.discovery.call_ended(self.number, node_list, problem)
 
     def drop(self) -> None:
-        """Waits no longer: neither for an answer nor for a connection that is still being made."""
-        self.over = True
+        """Cancels the call and its connection or dial."""
+        self.ended = True
         if self.connection is not None:
             self.connection.abandon()
             self.connection = None
         else:
-            self.pool.give_up(self)
+            self.pool.cancel_dial(self)
--- a/notchflow/net/dispatcher.py
+++ b/notchflow/net/dispatcher.py
@@ -1,6 +1,7 @@
-"""Requests in hand: the module hears what happens to them, and what it decides is carried out.
+"""The request dispatcher: reports events to the policy and carries out the actions that it returns.
 
-Here a request gets its one final answer, and deadlines are kept whatever the module does.
+It guarantees that each request gets exactly one final response, and enforces deadlines whatever the policy
+does.
 """
 
 from __future__ import annotations
@@ -47,18 +48,18 @@
 log = logging.getLogger(__name__)
 
 OK, MOOT = Status.OK, Status.MOOT  # looked up for every request
-LATE_MS = 2.0
-DESCRIPTOR_WAIT_MS = 100.0
+LATE_TIMER_MS = 2.0  # a timer later than this means that the event loop was busy
+DESCRIPTOR_WAIT_MS = 100.0  # a dial without a descriptor waits this long before an idle client is closed
 
 
 class Dispatcher:
-    """What one proxy has in hand: requests and their attempts, timers, descriptors."""
+    """The active requests of one proxy with their attempts, timers and descriptors."""
 
     discovery: Discovery
     frontend: Frontend
     frontends: list[Frontend]
     settings: Settings
-    classes: dict[str, float]  # their deadlines
+    classes: dict[str, float]  # deadline of each class, milliseconds
     longest_deadline_ms: float
     max_attempts: int
     descriptor_limit: int
@@ -71,77 +72,81 @@
         self.clock = clock or Clock(loop)
         self.balancer = Balancer(config.settings, config.seed, self.clock.now())
         self.active_requests: dict[int, ActiveRequest] = {}
-        self.numbers = 0
+        self.last_request_id = 0
         self.pools: dict[int, Pool] = {}
-        self.inbox: deque[Event] = deque()
-        self.telling = False
-        self.now = 0.0  # when the module was last asked: what it decided begins then
+        self.event_queue: deque[Event] = deque()
+        self.dispatching = False
+        self.now = 0.0  # time of the last policy call: attempts that it decided on begin then
         self.timers = TimerWheel()
         self.stalls = StallDetector(self.clock.now())
-        self.armed: asyncio.TimerHandle | None = None
-        self.armed_for = float("inf")
+        self.timer_handle: asyncio.TimerHandle | None = None
+        self.timer_due_at = float("inf")
         self.descriptors_used = 0
-        self.starved: dict[Attempt, None] = {}  # dials that wait for a descriptor, in order
+        self.waiting_dials: dict[Attempt, None] = {}  # dials that wait for a descriptor, oldest first
         self.buffered_bytes = 0
-        self.answer_deadline = float("inf")  # no request is held longer than this, once the process is to end
+        self.answer_deadline = float("inf")  # set at shutdown: caps the deadline of every request
         self.metrics = ProxyMetrics()
 
     # -- time
-    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
-        """Calls back at a time, never before, unless `timers.cancel` is given the handle."""
-        handle = self.timers.set(due, call, argument)
-        if due < self.armed_for:
-            self._arm(due)
-        return handle
-
-    def call_soon(self, call: Callable[..., None], argument: Any) -> None:
-        """Calls back in the loop's next turn."""
-        self.loop.call_soon(call, argument)
-
-    def once_read(self, call: Callable[..., None], argument: Any) -> None:
-        """Calls back once the loop has polled again: what lay unread beside the event in hand was read."""
-        self.loop.call_soon(self.loop.call_soon, call, argument)
-
-    def _arm(self, due: float) -> None:
-        if self.armed is not None:
-            self.armed.cancel()
-        self.armed_for = due
-        self.armed = self.loop.call_later(max(due - self.clock.now(), 0.0) / 1e3, self._run_timers, due)
+    def call_at(self, due: float, callback: Callable[..., None], argument: Any = None) -> TimerId:
+        """Calls back at `due`, never earlier. `timers.cancel` takes the returned id."""
+        timer_id = self.timers.schedule(due, callback, argument)
+        if due < self.timer_due_at:
+            self._arm_timer(due)
+        return timer_id
+
+    def call_soon(self, callback: Callable[..., None], argument: Any) -> None:
+        """Calls back in the next iteration of the event loop."""
+        self.loop.call_soon(callback, argument)
+
+    def call_after_poll(self, callback: Callable[..., None], argument: Any) -> None:
+        """Calls back after the loop has polled once more, so that data that was ready beside the current
+        event has been read."""
+        self.loop.call_soon(self.loop.call_soon, callback, argument)
+
+    def _arm_timer(self, due: float) -> None:
+        if self.timer_handle is not None:
+            self.timer_handle.cancel()
+        self.timer_due_at = due
+        self.timer_handle = self.loop.call_later(
+            max(due - self.clock.now(), 0.0) / 1e3, self._run_timers, due
+        )
 
     def _run_timers(self, due: float, again: bool = False) -> None:
         now = self.clock.now()
-        if not again and now > due + LATE_MS:
-            # The loop was busy: answers may be waiting in the kernel, and nodes must not be blamed for that.
-            self.armed = self.loop.call_later(0.001, self._run_timers, due, True)
+        if not again and now > due + LATE_TIMER_MS:
+            # The loop was busy: responses may be waiting in the kernel, so the nodes are not to blame.
+            self.timer_handle = self.loop.call_later(0.001, self._run_timers, due, True)
             return
-        for call, argument in self.timers.due(now):
+        for callback, argument in self.timers.pop_due(now):
             try:
-                call(argument)
+                callback(argument)
             except Exception:
-                log.exception("a timer failed")
-        self.armed, self.armed_for = None, float("inf")
-        following = self.timers.next_due()
-        if following < self.armed_for:
-            self._arm(following)
+                log.exception("timer callback failed")
+        self.timer_handle, self.timer_due_at = None, float("inf")
+        next_due = self.timers.next_due()
+        if next_due < self.timer_due_at:
+            self._arm_timer(next_due)
 
-    # -- budgets
+    # -- descriptors
     def acquire_descriptor(self) -> bool:
-        """Takes a descriptor for a dial, if there is one or an idle connection to a node can give its own."""
+        """Reserves a descriptor for a dial, closing an idle connection to a node if none is left; false where
+        that fails."""
         if self.descriptors_used >= self.descriptor_limit and not self.close_idle_connection():
             return False
         self.descriptors_used += 1
         return True
 
     def release_descriptor(self) -> None:
-        """A descriptor has been given back: dials that wait come before new clients."""
+        """Returns a descriptor. Waiting dials take precedence over new clients."""
         self.descriptors_used -= 1
-        if self.starved:
+        if self.waiting_dials:
             self.call_soon(self._resume_dials, None)
         for frontend in self.frontends:
             frontend.resume_accepting()
 
     def close_idle_connection(self) -> bool:
-        """Closes the connection to a node that has been idle for longest, if there is one."""
+        """Closes the connection to a node that has been idle longest; false if there is none."""
         idle = [p for p in self.pools.values() if p.idle]
         if not idle:
             return False
@@ -150,37 +155,39 @@
         return True
 
     def await_descriptor(self, attempt: Attempt) -> None:
-        """A dial waits for the next descriptor: to close a client's connection might lose its request."""
-        self.starved[attempt] = None
-        self.call_at(self.clock.now() + DESCRIPTOR_WAIT_MS, self._still_starved, attempt)
-
-    def _still_starved(self, attempt: Attempt) -> None:
-        """None has come free for a while: an idle client gives way, or the attempt is over."""
-        if attempt not in self.starved:
+        """Queues a dial for the next free descriptor. A client is not closed at once, as its next request
+        might be lost."""
+        self.waiting_dials[attempt] = None
+        self.call_at(self.clock.now() + DESCRIPTOR_WAIT_MS, self._descriptor_wait_over, attempt)
+
+    def _descriptor_wait_over(self, attempt: Attempt) -> None:
+        """No descriptor came free within DESCRIPTOR_WAIT_MS: closes an idle client, or ends the attempt."""
+        if attempt not in self.waiting_dials:
             return
         if any(frontend.close_idle() for frontend in self.frontends):
             self.await_descriptor(attempt)
             return
-        del self.starved[attempt]
-        attempt.unsent()
+        del self.waiting_dials[attempt]
+        attempt.not_sent()
 
     def _resume_dials(self, _: object) -> None:
-        while self.starved and self.descriptors_used < self.descriptor_limit:
-            attempt = next(iter(self.starved))
-            del self.starved[attempt]
-            self._begin(attempt)
+        while self.waiting_dials and self.descriptors_used < self.descriptor_limit:
+            attempt = next(iter(self.waiting_dials))
+            del self.waiting_dials[attempt]
+            self._start_attempt(attempt)
 
     def has_waiting_dials(self) -> bool:
-        """Whether dials wait for descriptors."""
-        return bool(self.starved)
+        """Whether dials are waiting for descriptors."""
+        return bool(self.waiting_dials)
 
-    # -- the module
+    # -- policy
     def dispatch(self, event: Event) -> None:
-        """Hands the module an event and carries out its answer; what follows from that comes after it."""
-        if self.telling:
-            self.inbox.append(event)
+        """Passes an event to the policy and executes its actions. Events caused meanwhile are queued and
+        handled in order."""
+        if self.dispatching:
+            self.event_queue.append(event)
             return
-        self.telling = True
+        self.dispatching = True
         while True:
             try:
                 self.now = now = self.clock.now()
@@ -188,96 +195,96 @@
                     if isinstance(action, Send):
                         self._send(action)
                     else:
-                        self._perform(action)
-            except Exception:  # costs this one request at most, never the process
-                log.exception("the module failed on %s", type(event).__name__)
-                self._give_up(event)
-            if not self.inbox:
+                        self._execute(action)
+            except Exception:  # at most this request fails, never the process
+                log.exception("policy failed on %s", type(event).__name__)
+                self._recover(event)
+            if not self.event_queue:
                 break
-            event = self.inbox.popleft()
-        self.telling = False
+            event = self.event_queue.popleft()
+        self.dispatching = False
 
-    def _give_up(self, event: Event) -> None:
+    def _recover(self, event: Event) -> None:
         number = getattr(event, "id", None)
-        item = self.active_requests.get(number) if number is not None else None
-        if item is not None and not item.done:
-            self._fail(item)
+        active = self.active_requests.get(number) if number is not None else None
+        if active is not None and not active.done:
+            self._fail_request(active)
             if not isinstance(event, ClientGone):
-                self.inbox.append(ClientGone(item.id))
+                self.event_queue.append(ClientGone(active.id))
 
-    def _perform(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Refuse(number, wait):
-                item = self.active_requests.get(number)
-                if item is not None and not item.done:
-                    self._end(item)
-                    item.client_request.client.refuse(item.client_request, wait)
+                active = self.active_requests.get(number)
+                if active is not None and not active.done:
+                    self._finish_request(active)
+                    active.client_request.client.refuse(active.client_request, wait)
             case Fail(number):
-                item = self.active_requests.get(number)
-                if item is not None:
-                    self._fail(item)
+                active = self.active_requests.get(number)
+                if active is not None:
+                    self._fail_request(active)
             case Cancel(number, attempt):
-                item = self.active_requests.get(number)
-                out = item.outstanding_attempts.get(attempt) if item is not None else None
-                if out is not None and self.settings.limits.cancel and not out.started:
+                active = self.active_requests.get(number)
+                out = active.outstanding_attempts.get(attempt) if active is not None else None
+                if out is not None and self.settings.limits.cancel and not out.streaming:
                     out.abandon(Status.CANCELLED)
             case SetTimer(at, token):
-                self.call_at(at, self._timer, token)
+                self.call_at(at, self._on_timer, token)
             case Watch(on):
                 self.discovery.watch(on)
             case Probe(node):
-                self.inbox.append(Probed(node, Status.MOOT))
+                self.event_queue.append(Probed(node, Status.MOOT))
 
-    def _timer(self, token: str) -> None:
+    def _on_timer(self, token: str) -> None:
         self.dispatch(Timer(token))
 
     def _send(self, action: Send) -> None:
         number, node, timeout, before = action
-        item = self.active_requests.get(number)
-        if item is None:
-            log.error("the module sent a request that is over")
+        active = self.active_requests.get(number)
+        if active is None:
+            log.error("policy sent an attempt for a request that is already finished")
             return
-        attempt_number, item.attempts = item.attempts, item.attempts + 1
+        attempt_number, active.attempt_count = active.attempt_count, active.attempt_count + 1
         pool, now = self.pools.get(node), self.now
         if (
             pool is None
-            or item.done
-            or item.streaming_attempt is not None
-            or now >= item.deadline
+            or active.done
+            or active.streaming_attempt is not None
+            or now >= active.deadline
             or attempt_number >= self.max_attempts
-            or item.client_request.body_start_dropped
-            or (item.outstanding_attempts and not self.settings.limits.second_copies)
+            or active.client_request.body_start_dropped
+            or (active.outstanding_attempts and not self.settings.limits.second_copies)
         ):
-            self.inbox.append(Outcome(number, attempt_number, node, Status.MOOT, closed=item.done))
+            self.event_queue.append(Outcome(number, attempt_number, node, Status.MOOT, closed=active.done))
             return
-        expires = item.deadline if timeout is None else min(item.deadline, now + timeout)
-        attempt = Attempt(self, item, attempt_number, node, pool, now, expires, before)
-        item.outstanding_attempts[attempt_number] = attempt
-        if expires < item.deadline:
-            attempt.timer = self.call_at(expires, self._expire, attempt)
-        if attempt_number or item.client_request.earliest_arrival_at != self.clock.loop_time():
-            self.once_read(self._begin, attempt)
+        expires_at = active.deadline if timeout is None else min(active.deadline, now + timeout)
+        attempt = Attempt(self, active, attempt_number, node, pool, now, expires_at, before)
+        active.outstanding_attempts[attempt_number] = attempt
+        if expires_at < active.deadline:
+            attempt.timeout_timer = self.call_at(expires_at, self._on_attempt_timeout, attempt)
+        if attempt_number or active.client_request.earliest_arrival_at != self.clock.loop_time():
+            self.call_after_poll(self._start_attempt, attempt)
         else:
             pool.send(attempt, now)
 
-    def _begin(self, attempt: Attempt) -> None:
-        """Begins an attempt whose request was not read just now, if it may still begin."""
-        if attempt.over:
+    def _start_attempt(self, attempt: Attempt) -> None:
+        """Starts a deferred attempt, if it may still start."""
+        if attempt.ended:
             return
         attempt.begun_at = now = self.clock.now()
-        if attempt.wanted(now):
+        if attempt.may_start(now):
             attempt.pool.send(attempt, now)
         else:
-            attempt.unsent()
+            attempt.not_sent()
 
-    def _expire(self, attempt: Attempt) -> None:
-        if not attempt.over and not attempt.started:
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
+        if not attempt.ended and not attempt.streaming:
             attempt.abandon(Status.TIMEOUT)
 
-    # -- the life of a request
+    # -- request life cycle
     def start_request(
         self,
-        call: ClientRequest,
+        request: ClientRequest,
         cls: str,
         budget_ms: float | None,
         key: str | None = None,
@@ -288,28 +295,28 @@
         write: bool = False,
         earlier: float | None = None,
     ) -> None:
-        """Takes a request in hand: from here on it is owed its one final answer. `earlier`: so many
-        milliseconds ago a request with the same effect may first have run."""
+        """Accepts a request, which from here on gets exactly one final answer. `earlier`: milliseconds since
+        a request with the same effect may first have run."""
         if budget_ms is None:
             budget_ms = self.classes.get(cls, self.longest_deadline_ms)
-        self.numbers = number = self.numbers + 1
-        arriving = call.streams_body and not call.body_complete
-        deadline = call.arrived_at + budget_ms
+        self.last_request_id = number = self.last_request_id + 1
+        arriving = request.streams_body and not request.body_complete
+        deadline = request.arrived_at + budget_ms
         if deadline > self.answer_deadline:
             deadline = self.answer_deadline
-        call.class_counts = self.metrics.begin_request(cls)
-        call.active = item = ActiveRequest(number, call, deadline)
+        request.class_counts = self.metrics.begin_request(cls)
+        request.active = active = ActiveRequest(number, request, deadline)
         if deadline <= self.clock.now():
-            item.last = Status.TIMEOUT
-            self._fail(item)
+            active.last_status = Status.TIMEOUT
+            self._fail_request(active)
             return
-        if call.client.has_left(self.clock.now()):
-            self._depart(item)
+        if request.client.has_left(self.clock.now()):
+            self._end_departed(active)
             return
         if arriving:
-            item.budget_ms = budget_ms
-        self.active_requests[number] = item
-        item.timer = self.call_at(deadline, self._deadline, number)
+            active.budget_ms = budget_ms
+        self.active_requests[number] = active
+        active.deadline_timer = self.call_at(deadline, self._on_deadline, number)
         self.dispatch(
             Request(
                 number,
@@ -326,160 +333,160 @@
             )
         )
 
-    # -- bodies that flow
-    def body_received(self, item: ActiveRequest, pieces: Sequence[bytes]) -> None:
-        """Pieces of a long body, for the attempts that are under way."""
-        for attempt in list(item.outstanding_attempts.values()):
-            attempt.more(pieces)
+    # -- streamed request bodies
+    def body_received(self, active: ActiveRequest, pieces: Sequence[bytes]) -> None:
+        """Forwards pieces of a streamed body to the outstanding attempts."""
+        for attempt in list(active.outstanding_attempts.values()):
+            attempt.send_body(pieces)
 
-    def finish_body(self, item: ActiveRequest) -> None:
-        """All of it has come: the client's time counts from now on."""
-        if item.done:
+    def finish_body(self, active: ActiveRequest) -> None:
+        """The body is complete: the client's budget runs from now on."""
+        if active.done:
             return
-        item.deadline = min(self.clock.now() + item.budget_ms, self.answer_deadline)
-        if item.timer is not None:
-            self.timers.cancel(item.timer)
-        item.timer = self.call_at(item.deadline, self._deadline, item.id)
-        for attempt in list(item.outstanding_attempts.values()):
-            attempt.body_ended()
-        self.dispatch(BodyArrived(item.id, item.deadline))
-
-    def try_discard_body(self, item: ActiveRequest) -> bool:
-        """Whether the start of the body need not be held any more, as a box is getting it."""
+        active.deadline = min(self.clock.now() + active.budget_ms, self.answer_deadline)
+        if active.deadline_timer is not None:
+            self.timers.cancel(active.deadline_timer)
+        active.deadline_timer = self.call_at(active.deadline, self._on_deadline, active.id)
+        for attempt in list(active.outstanding_attempts.values()):
+            attempt.end_body()
+        self.dispatch(BodyArrived(active.id, active.deadline))
+
+    def try_discard_body(self, active: ActiveRequest) -> bool:
+        """Whether the buffered start of the body may be discarded, as exactly one node is receiving it. If
+        so, notifies the policy, as no retry is possible from then on."""
         if (
-            item.done
-            or len(item.outstanding_attempts) != 1
-            or any(a.connection is None for a in item.outstanding_attempts.values())
+            active.done
+            or len(active.outstanding_attempts) != 1
+            or any(a.connection is None for a in active.outstanding_attempts.values())
         ):
             return False
-        self.dispatch(BodyDiscarded(item.id))
+        self.dispatch(BodyDiscarded(active.id))
         return True
 
-    def body_stalled(self, item: ActiveRequest) -> None:
-        """A box does not take the body any more: without its last byte it cannot have run."""
-        self._abandon_attempts(item)
+    def body_stalled(self, active: ActiveRequest) -> None:
+        """The node stopped reading the body. Without its last byte the request cannot have run."""
+        self._abandon_attempts(active)
 
-    def _abandon_attempts(self, item: ActiveRequest) -> None:
-        for attempt in list(item.outstanding_attempts.values()):
+    def _abandon_attempts(self, active: ActiveRequest) -> None:
+        for attempt in list(active.outstanding_attempts.values()):
             attempt.abandon(Status.CONNECT_FAILED)
 
-    def _deadline(self, number: int) -> None:
-        item = self.active_requests.get(number)
-        if item is None or item.streaming_attempt is not None:
+    def _on_deadline(self, number: int) -> None:
+        active = self.active_requests.get(number)
+        if active is None or active.streaming_attempt is not None:
             return
-        for attempt in list(item.outstanding_attempts.values()):
+        for attempt in list(active.outstanding_attempts.values()):
             attempt.abandon(Status.TIMEOUT)
-        if not item.done:  # the module held it too long
-            self._fail(item)
-            self.dispatch(ClientGone(item.id))
-
-    def _depart(self, item: ActiveRequest) -> None:
-        """Ends a request for which nothing may begin, as its client has gone. A client that has only closed
-        its sending side is still told, by 503, that nothing ran."""
-        call = item.client_request
-        call.finish(CLIENT_CLOSED)
-        self.client_gone(item)
-        if item.may_have_run:
-            call.client.fail(call, 502)
+        if not active.done:  # the policy held the request past its deadline
+            self._fail_request(active)
+            self.dispatch(ClientGone(active.id))
+
+    def _end_departed(self, active: ActiveRequest) -> None:
+        """Ends a request whose client has disconnected, so that no attempt may start. A client that closed
+        only its sending side still gets a 503, which says that nothing ran."""
+        request = active.client_request
+        request.finish(CLIENT_CLOSED)
+        self.client_gone(active)
+        if active.may_have_run:
+            request.client.fail(request, 502)
         else:
-            call.client.refuse(call, 0.0)
+            request.client.refuse(request, 0.0)
 
-    def client_gone(self, item: ActiveRequest) -> None:
-        """The client has left: nothing is owed to it any more, and the module hears of it."""
-        if item.done:
+    def client_gone(self, active: ActiveRequest) -> None:
+        """The client has disconnected: ends its request and notifies the policy."""
+        if active.done:
             return
-        self._end(item)
-        if item.streaming_attempt is not None:
-            item.streaming_attempt.abandon(Status.CANCELLED)
-        if (
-            item.client_request.streams_body and not item.client_request.body_complete
-        ):  # whatever may be cancelled: the rest never comes
-            self._abandon_attempts(item)
-        self.dispatch(ClientGone(item.id))
-
-    def stream_started(self, attempt: Attempt, answer: UpstreamResponse) -> bool:
-        """A long answer begins; whether it is this one that the client gets."""
-        item = attempt.open
-        if item.done or item.streaming_attempt is not None:
+        self._finish_request(active)
+        if active.streaming_attempt is not None:
+            active.streaming_attempt.abandon(Status.CANCELLED)
+        if active.client_request.streams_body and not active.client_request.body_complete:
+            self._abandon_attempts(active)  # cancel or not: the rest never comes
+        self.dispatch(ClientGone(active.id))
+
+    def stream_started(self, attempt: Attempt, response: UpstreamResponse) -> bool:
+        """A long response begins; whether it is the one that the client gets."""
+        active = attempt.request
+        if active.done or active.streaming_attempt is not None:
             return False
-        item.streaming_attempt = attempt
-        item.client_request.client.begin_stream(item.client_request, answer)
-        self.dispatch(StreamStarted(item.id, attempt.number, attempt.node))
+        active.streaming_attempt = attempt
+        active.client_request.client.begin_stream(active.client_request, response)
+        self.dispatch(StreamStarted(active.id, attempt.number, attempt.node))
         return True
 
-    def set_response_paused(self, item: ActiveRequest, paused: bool) -> None:
-        """A client reads a long answer too slowly, or has caught up: its node waits or goes on."""
-        connection = item.streaming_attempt.connection if item.streaming_attempt else None
+    def set_response_paused(self, active: ActiveRequest, paused: bool) -> None:
+        """Pauses or resumes reading from the node, as the client reads a streamed response too slowly or has
+        caught up."""
+        connection = active.streaming_attempt.connection if active.streaming_attempt else None
         if connection is not None:
             if not paused:
                 connection.last_read_at = self.clock.now()
-            connection.hold(paused)
-
-    def outcome(self, attempt: Attempt, status: Status, answer: UpstreamResponse | None) -> None:
-        """An attempt has ended. The first 200 and the end of a stream are the request's final answer."""
-        item = attempt.open
-        item.outstanding_attempts.pop(attempt.number, None)
-        if self.starved:  # it wants no descriptor any more
-            self.starved.pop(attempt, None)
-        item.last = status
+            connection.set_paused(paused)
+
+    def attempt_ended(self, attempt: Attempt, status: Status, response: UpstreamResponse | None) -> None:
+        """Handles the end of an attempt. The first 200, or the end of a stream, is the final response."""
+        active = attempt.request
+        active.outstanding_attempts.pop(attempt.number, None)
+        if self.waiting_dials:  # it no longer needs a descriptor
+            self.waiting_dials.pop(attempt, None)
+        active.last_status = status
         if not status.never_ran:
-            item.may_have_run = True
-            if item.client_request.ticket is not None:
-                item.client_request.ran = True
+            active.may_have_run = True
+            if active.client_request.ticket is not None:
+                active.client_request.may_have_run = True
         if (
             status is MOOT
-            and not (item.done or item.outstanding_attempts)
-            and item.client_request.client.has_left(self.clock.now())
+            and not (active.done or active.outstanding_attempts)
+            and active.client_request.client.has_left(self.clock.now())
         ):
-            self._depart(item)
-        if not item.done:
-            call = item.client_request
-            if attempt.started:
-                item.done = True
-                call.client.end_stream(call, status is OK)
-            elif answer is not None and status is OK:
-                item.done = True
-                call.client.serve(call, answer)
-        if item.streaming_attempt is attempt:
-            item.streaming_attempt = None  # else the two would keep one another until the collector comes
+            self._end_departed(active)
+        if not active.done:
+            request = active.client_request
+            if attempt.streaming:
+                active.done = True
+                request.client.end_stream(request, status is OK)
+            elif response is not None and status is OK:
+                active.done = True
+                request.client.serve(request, response)
+        if active.streaming_attempt is attempt:
+            active.streaming_attempt = None  # else a reference cycle is left to the garbage collector
         hit = load = None
-        if answer is not None:
-            ended, hit = answer.begun_at, answer.headers.get(b"x-hit")
-            if b"x-load-report" in answer.headers:
-                load = load_report(answer, self.config.report_fields)
+        if response is not None:
+            ended, hit = response.begun_at, response.headers.get(b"x-hit")
+            if b"x-load-report" in response.headers:
+                load = load_report(response, self.config.report_fields)
         else:
             ended = self.clock.loop_time()
-        if attempt.timer is not None:
-            self.timers.cancel(attempt.timer)
-        if item.done and not item.outstanding_attempts:
-            self._forget(item)
+        if attempt.timeout_timer is not None:
+            self.timers.cancel(attempt.timeout_timer)
+        if active.done and not active.outstanding_attempts:
+            self._remove_request(active)
         took = ended - attempt.begun_at
         self.dispatch(
             Outcome(
-                item.id,
+                active.id,
                 attempt.number,
                 attempt.node,
                 status,
                 took if took > 0.0 else 0.0,
-                item.done,
+                active.done,
                 None if hit is None else hit == b"hit",
                 load,
             )
         )
 
-    def _fail(self, item: ActiveRequest) -> None:
-        if not item.done:
-            self._end(item)
-            late = item.last is Status.TIMEOUT or self.clock.now() >= item.deadline
-            item.client_request.client.fail(item.client_request, 504 if late else 502)
-
-    def _end(self, item: ActiveRequest) -> None:
-        item.done = True
-        if not item.outstanding_attempts:
-            self._forget(item)
-
-    def _forget(self, item: ActiveRequest) -> None:
-        """Nothing is owed and nothing is out: its deadline matters no more."""
-        self.active_requests.pop(item.id, None)
-        if item.timer is not None:
-            self.timers.cancel(item.timer)
+    def _fail_request(self, active: ActiveRequest) -> None:
+        if not active.done:
+            self._finish_request(active)
+            late = active.last_status is Status.TIMEOUT or self.clock.now() >= active.deadline
+            active.client_request.client.fail(active.client_request, 504 if late else 502)
+
+    def _finish_request(self, active: ActiveRequest) -> None:
+        active.done = True
+        if not active.outstanding_attempts:
+            self._remove_request(active)
+
+    def _remove_request(self, active: ActiveRequest) -> None:
+        """Drops a request that is answered and has no outstanding attempt, with its deadline timer."""
+        self.active_requests.pop(active.id, None)
+        if active.deadline_timer is not None:
+            self.timers.cancel(active.deadline_timer)
--- a/notchflow/net/exchange.py
+++ b/notchflow/net/exchange.py
@@ -1,5 +1,5 @@
-"""What the two sides of the proxy and the host share: a request in hand, an answer, and what each needs of
-the others. No module of this package imports one that imports it."""
+"""Types shared by the client side, the node side and the host: requests, responses, and the protocols through
+which each uses the others, so that imports within the package form no cycle."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         b"proxy-authorization",
     }
 )
-CLIENT_CLOSED = 0  # in place of a status: the client left before its answer
+CLIENT_CLOSED = 0  # in place of a status: the client disconnected before its answer
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -52,7 +52,7 @@
 
 
 class UpstreamResponse:
-    """A node's answer as it comes in."""
+    """A response from a node, or from discovery, as it is received."""
 
     __slots__ = ("code", "headers", "forwarded_headers", "body", "body_size", "length", "begun_at")
 
@@ -67,101 +67,101 @@
 
 
 class Downstream(Protocol):
-    """The client's side of a request in hand: it takes the one final answer."""
+    """The client's connection, to which the one final answer of a request is written."""
 
     paused: bool
 
-    def serve(self, call: ClientRequest, answer: UpstreamResponse) -> None:
-        """Answers with what a node answered."""
+    def serve(self, request: ClientRequest, response: UpstreamResponse) -> None:
+        """Writes the response of a node."""
 
-    def refuse(self, call: ClientRequest, retry_after_ms: float) -> None:
-        """Answers that nothing ran. `retry_after_ms`: when to come back, if positive."""
+    def refuse(self, request: ClientRequest, retry_after_ms: float) -> None:
+        """Rejects the request: nothing ran. `retry_after_ms`: when the client may retry, if positive."""
 
-    def fail(self, call: ClientRequest, status: int) -> None:
-        """Answers that the request failed, with no promise."""
+    def fail(self, request: ClientRequest, status: int) -> None:
+        """Fails the request with this status; it may or may not have run."""
 
-    def answer(self, call: ClientRequest, reply: LocalReply) -> None:
-        """Answers with a reply of the proxy's own."""
+    def answer(self, request: ClientRequest, reply: LocalReply) -> None:
+        """Writes a reply that the proxy generated."""
 
-    def begin_stream(self, call: ClientRequest, answer: UpstreamResponse) -> None:
-        """A long answer begins."""
+    def begin_stream(self, request: ClientRequest, response: UpstreamResponse) -> None:
+        """Begins a streamed response."""
 
     def stream(self, data: bytes) -> None:
-        """A part of a long answer."""
+        """Writes a part of a streamed response."""
 
-    def end_stream(self, call: ClientRequest, whole: bool) -> None:
-        """A long answer has ended, whole or cut off."""
+    def end_stream(self, request: ClientRequest, whole: bool) -> None:
+        """Ends a streamed response, complete or cut off."""
 
     def set_body_wanted(self, on: bool) -> None:
-        """Whether more of the body that is arriving is wanted now."""
+        """Resumes or pauses reading the request body."""
 
     def has_left(self, now: float) -> bool:
-        """Whether the client has closed its connection, so that nothing may begin for it any more."""
+        """Whether the client has disconnected, so that no attempt may start for it."""
 
 
-class Link(Protocol):
-    """The connection that a streamed answer comes on."""
+class UpstreamConnection(Protocol):
+    """The connection that a streamed response is read from."""
 
     last_read_at: float
 
-    def hold(self, on: bool) -> None:
-        """Reads no more of an answer, or goes on."""
+    def set_paused(self, on: bool) -> None:
+        """Pauses or resumes reading the response."""
 
 
-class Try(Protocol):
-    """An attempt at a node, as the host sees it."""
+class UpstreamAttempt(Protocol):
+    """An attempt at a node, as the host uses it."""
 
-    started: bool
+    streaming: bool
 
     @property
-    def connection(self) -> Link | None:
-        """The connection that it goes on, once there is one."""
+    def connection(self) -> UpstreamConnection | None:
+        """Its connection; none before the dial has succeeded."""
 
     def abandon(self, status: Status) -> None:
-        """Gives the attempt up, with this outcome."""
+        """Abandons the attempt with this outcome."""
 
-    def more(self, pieces: Sequence[bytes]) -> None:
-        """Further pieces of the body."""
+    def send_body(self, pieces: Sequence[bytes]) -> None:
+        """Sends further pieces of the body."""
 
-    def body_ended(self) -> None:
-        """The body is whole."""
+    def end_body(self) -> None:
+        """The body is complete."""
 
     def is_writing_to(self, pools: Collection[object]) -> bool:
-        """Whether it goes to one of these pools, and a part of the request is still to be written."""
+        """Whether it uses one of these pools and has not written the whole request yet."""
 
 
-class Ticket(Protocol):
-    """What a request in hand costs the tenant that it belongs to."""
+class AdmissionTicket(Protocol):
+    """Accounts for a request against the limits of its tenant."""
 
     def charge(self, size: int) -> bool:
-        """Counts bytes held; false where they are over the tenant's limit."""
+        """Counts buffered bytes; false if they exceed the tenant's limit."""
 
     def done(self, status: int, ran: bool) -> None:
-        """The request is over: answered with this status, or CLIENT_CLOSED. Called once. `ran`: an
-        attempt may have run, or may yet."""
+        """The request has ended with this status, or CLIENT_CLOSED. Called once. `ran`: an attempt may have
+        run, or may still run."""
 
 
 @dataclass(frozen=True, slots=True)
 class LocalReply:
-    """An answer of the proxy's own."""
+    """A response that the proxy generates itself."""
 
     status: int
-    headers: tuple[bytes, ...] = ()  # whole lines
+    headers: tuple[bytes, ...] = ()  # complete lines, with CRLF
     body: bytes = b""
 
 
-class Ledger(Protocol):
-    """Where bytes held in memory are counted."""
+class BufferAccount(Protocol):
+    """Counts the bytes of bodies held in memory."""
 
     buffered_bytes: int
 
 
 class ClientRequest:
-    """One request as a client sent it."""
+    """One request as received from a client."""
 
     __slots__ = (
         "client",
-        "ledger",
+        "buffer_account",
         "method",
         "url",
         "headers",
@@ -184,136 +184,135 @@
         "body_start_dropped",
         "chunked",
         "drop_body",
-        "ran",
+        "may_have_run",
     )
 
-    def __init__(self, client: Downstream, ledger: Ledger) -> None:
-        self.client, self.ledger = client, ledger
+    def __init__(self, client: Downstream, buffer_account: BufferAccount) -> None:
+        self.client, self.buffer_account = client, buffer_account
         self.method = self.url = b""
         self.headers: dict[bytes, bytes] = {}
         self.forwarded_headers: list[bytes] = []
         self.body: list[bytes] = []
         self.body_size = 0
-        self.charged_bytes = 0  # bytes counted as held
+        self.charged_bytes = 0  # body bytes counted in `buffer_account`
         self.body_not_held = False
         self.keep_alive = False
         self.chunks_allowed = True
         self.arrived_at = 0.0
-        self.earliest_arrival_at = (
-            0.0  # when it may have come: before it was read, if the process stood still
-        )
+        self.earliest_arrival_at = 0.0  # it may have arrived this early, if the process was stalled
         self.active: ActiveRequest | None = None
-        self.error_status = 0  # the status that a request which never reaches the module is answered with
-        self.ticket: Ticket | None = None
-        self.class_counts: ClassCounts | None = None  # where its end is counted, once it is taken
-        self.streams_body = False  # a long body: the request begins before that is whole
-        self.body_complete = False  # of one that flows: the last byte has come
-        self.body_start_dropped = False  # and the first ones are not held any more
-        self.drop_body = False  # it is answered already: the rest of it is read and dropped
-        self.chunked = False  # it goes on in chunks, as its length is not known
-        self.ran = False  # an attempt may have run; kept where there is a ticket
-        self.local_reply: LocalReply | None = (
-            None  # settled at the end of the head: the body is read and dropped
-        )
+        self.error_status = 0  # if not 0, answered with this status without asking the policy
+        self.ticket: AdmissionTicket | None = None
+        self.class_counts: ClassCounts | None = None  # metrics of its class, once it is accepted
+        self.streams_body = False  # a long body: attempts start before it is complete
+        self.body_complete = False  # of a streamed body: the last byte has arrived
+        self.body_start_dropped = False  # the start of a streamed body is no longer buffered
+        self.drop_body = False  # already answered: the rest of the body is read and discarded
+        self.chunked = False  # forwarded in chunked encoding, as the length is unknown
+        self.may_have_run = False  # an attempt may have run; set only if there is a ticket
+        self.local_reply: LocalReply | None = None  # decided after the head: the body is discarded
 
     def release_body(self) -> None:
-        """Lets go of the body and of the bytes that are counted for it."""
+        """Frees the body and stops counting its bytes."""
         if self.charged_bytes:
-            self.ledger.buffered_bytes -= self.charged_bytes
+            self.buffer_account.buffered_bytes -= self.charged_bytes
             self.charged_bytes = 0
         if self.body:
             self.body = []
 
     def finish(self, status: int) -> None:
-        """The request is over for its client. What it was to the host is let go of, as that refers back: the
-        collector, which stops the loop, must find nothing to do."""
+        """The request has ended for its client. Drops the reference to the host's state, which refers back:
+        a cycle would be left to the garbage collector, whose runs stall the event loop."""
         self.release_body()
-        item, self.active = self.active, None
+        active, self.active = self.active, None
         counts, self.class_counts = self.class_counts, None
         if counts is not None:
             counts.end_request(status)
         ticket, self.ticket = self.ticket, None
         if ticket is not None:
-            ticket.done(status, self.ran or (item is not None and bool(item.outstanding_attempts)))
+            ticket.done(
+                status, self.may_have_run or (active is not None and bool(active.outstanding_attempts))
+            )
 
 
 class ActiveRequest:
-    """A request in hand and its attempts."""
+    """An accepted request and its attempts."""
 
     __slots__ = (
         "id",
         "client_request",
         "deadline",
         "budget_ms",
-        "attempts",
+        "attempt_count",
         "outstanding_attempts",
         "done",
         "streaming_attempt",
-        "last",
+        "last_status",
         "may_have_run",
-        "timer",
+        "deadline_timer",
         "class_counts",
     )
 
-    def __init__(self, number: int, call: ClientRequest, deadline: float) -> None:
+    def __init__(self, number: int, request: ClientRequest, deadline: float) -> None:
         self.id = number
-        self.client_request = call
-        self.class_counts = call.class_counts  # its attempts are counted there, also after its end
+        self.client_request = request
+        self.class_counts = request.class_counts  # attempts are still counted after the request has ended
         self.deadline = deadline
-        self.budget_ms = 0.0  # from the last byte of a body that is still arriving
-        self.attempts = 0
-        self.outstanding_attempts: dict[int, Try] = {}
+        self.budget_ms = 0.0  # runs from the last byte of a streamed body
+        self.attempt_count = 0
+        self.outstanding_attempts: dict[int, UpstreamAttempt] = {}
         self.done = False
-        self.streaming_attempt: Try | None = None
-        self.last: Status | None = None
-        self.may_have_run = False  # by an attempt that has ended
-        self.timer: TimerId | None = None
+        self.streaming_attempt: UpstreamAttempt | None = None
+        self.last_status: Status | None = None
+        self.may_have_run = False  # as shown by attempts that have ended
+        self.deadline_timer: TimerId | None = None
 
 
 class ConnectionHost(Protocol):
-    """What connections to nodes and to discovery need of the host."""
+    """The host, as connections to nodes and to discovery use it."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
     timers: TimerWheel
 
-    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
-        """Calls back at a time, in milliseconds on the clock."""
+    def call_at(self, due: float, callback: Callable[..., None], argument: Any = None) -> TimerId:
+        """Calls back at `due`, in milliseconds on the clock."""
 
-    def call_soon(self, call: Callable[..., None], argument: Any) -> None:
-        """Calls back in the loop's next turn."""
+    def call_soon(self, callback: Callable[..., None], argument: Any) -> None:
+        """Calls back in the next iteration of the event loop."""
 
     def acquire_descriptor(self) -> bool:
-        """Takes a descriptor for a dial; false where there is none."""
+        """Reserves a descriptor for a dial; false if none is left."""
 
     def release_descriptor(self) -> None:
-        """A descriptor has been given back."""
+        """Returns a descriptor."""
 
     def has_waiting_dials(self) -> bool:
-        """Whether dials wait for descriptors: an idle connection would keep one from them."""
+        """Whether dials are waiting for descriptors, so that a connection should be closed rather than kept
+        idle."""
 
 
 class DiscoveryHost(ConnectionHost, Protocol):
-    """What discovery needs of the host."""
+    """The host, as discovery uses it."""
 
     settings: Settings
     metrics: ProxyMetrics
 
     def dispatch(self, event: Event) -> None:
-        """Hands the module an event."""
+        """Passes an event to the policy."""
 
-    def apply(self, listing: NodeList, kind: ListKind) -> None:
-        """Takes over a list of nodes, or changes to it."""
+    def apply(self, node_list: NodeList, kind: ListKind) -> None:
+        """Applies a list of nodes, or changes to it."""
 
-    def removes_all_nodes(self, listing: NodeList) -> bool:
-        """Whether a whole list would leave nothing of the one that is known."""
+    def removes_all_nodes(self, node_list: NodeList) -> bool:
+        """Whether applying this complete list would remove every known node."""
 
-    def share_list(self, listing: NodeList) -> None:
-        """Tells other processes of this proxy what discovery told this one."""
+    def share_list(self, node_list: NodeList) -> None:
+        """Forwards a list to the other processes of this proxy."""
 
 
 class ClientHost(Protocol):
-    """What clients' connections need of the host."""
+    """The host, as clients' connections use it."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -321,29 +320,29 @@
     buffered_bytes: int
     buffer_limit: float
     descriptors_used: int
-    descriptor_limit: int  # that may be in use now; another process may have the rest for a while
+    descriptor_limit: int  # currently allowed; another process of this proxy may hold the rest for a while
     total_descriptor_limit: int
     lifecycle: Lifecycle
     metrics: ProxyMetrics
 
-    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
-        """Calls back at a time, in milliseconds on the clock."""
+    def call_at(self, due: float, callback: Callable[..., None], argument: Any = None) -> TimerId:
+        """Calls back at `due`, in milliseconds on the clock."""
 
-    def call_soon(self, call: Callable[..., None], argument: Any) -> None:
-        """Calls back in the loop's next turn."""
+    def call_soon(self, callback: Callable[..., None], argument: Any) -> None:
+        """Calls back in the next iteration of the event loop."""
 
     def release_descriptor(self) -> None:
-        """A descriptor has been given back."""
+        """Returns a descriptor."""
 
     def close_idle_connection(self) -> bool:
-        """Closes the connection to a node that has been idle for longest, if there is one."""
+        """Closes the connection to a node that has been idle longest; false if there is none."""
 
     def list_is_current(self) -> bool:
-        """Whether clients may come: the list is as new as may be expected of a new process."""
+        """Whether the list of nodes is recent enough for a new process to report readiness."""
 
     def start_request(
         self,
-        call: ClientRequest,
+        request: ClientRequest,
         cls: str,
         budget_ms: float | None,
         key: str | None = None,
@@ -353,39 +352,39 @@
         retry: bool = False,
         write: bool = False,
     ) -> None:
-        """Takes a request in hand: it is owed its one final answer."""
+        """Accepts a request, which then gets exactly one final answer."""
 
-    def client_gone(self, item: ActiveRequest) -> None:
-        """The client of a request has left."""
+    def client_gone(self, active: ActiveRequest) -> None:
+        """The client of a request has disconnected."""
 
-    def body_received(self, item: ActiveRequest, pieces: Sequence[bytes]) -> None:
-        """Pieces of a long body, for the attempts that are under way."""
+    def body_received(self, active: ActiveRequest, pieces: Sequence[bytes]) -> None:
+        """Forwards pieces of a streamed body to the outstanding attempts."""
 
-    def finish_body(self, item: ActiveRequest) -> None:
-        """All of it has come: the client's time counts from now on."""
+    def finish_body(self, active: ActiveRequest) -> None:
+        """The body is complete: the client's budget runs from now on."""
 
-    def body_stalled(self, item: ActiveRequest) -> None:
-        """A box does not take the body any more."""
+    def body_stalled(self, active: ActiveRequest) -> None:
+        """A node has stopped reading the body."""
 
-    def try_discard_body(self, item: ActiveRequest) -> bool:
-        """Whether the start of the body need not be held any more, as a box is getting it."""
+    def try_discard_body(self, active: ActiveRequest) -> bool:
+        """Whether the buffered start of the body may be discarded, as exactly one node is receiving it."""
 
-    def set_response_paused(self, item: ActiveRequest, paused: bool) -> None:
-        """A client reads a long answer too slowly, or has caught up."""
+    def set_response_paused(self, active: ActiveRequest, paused: bool) -> None:
+        """Pauses or resumes a streamed response, as the client reads too slowly or has caught up."""
 
 
 class Gateway(Protocol):
-    """What stands before the module where requests are not the platform's own: who asks, for what class, and
-    in which words it is turned away."""
+    """Authenticates and routes the requests of tenants: decides the class of a request, and the replies to
+    those that are rejected."""
 
-    def head(self, call: ClientRequest) -> None:
-        """The head has come: may set `ticket`, or `reply` where the request is turned away already."""
+    def head(self, request: ClientRequest) -> None:
+        """The head is complete: may set `ticket`, or `local_reply` to reject the request already."""
 
-    def begin(self, call: ClientRequest) -> LocalReply | None:
-        """The request is whole: hands it to the host, or says why not."""
+    def begin(self, request: ClientRequest) -> LocalReply | None:
+        """The request is complete: passes it to the host, or returns a reply that rejects it."""
 
     def refused(self, retry_after_ms: float) -> LocalReply:
-        """The words for a refusal of the module's."""
+        """The reply to a request that the policy rejected."""
 
     def failed(self, status: int) -> LocalReply:
-        """The words for a failure."""
+        """The reply to a request that failed with this status."""
--- a/notchflow/net/node_list.py
+++ b/notchflow/net/node_list.py
@@ -1,4 +1,4 @@
-"""Addresses, and the list of cache nodes in discovery's form."""
+"""Addresses of nodes, and the list of nodes in the JSON format of discovery."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """One answer of discovery: the whole list or the entries that changed."""
+    """One answer of discovery: the complete list, or the entries that changed."""
 
     revision: int
     complete: bool
@@ -27,22 +27,23 @@
 
 
 def node_id(name: str) -> int:
-    """A node's number, the same at every proxy and after each restart: the homes of keys hang on it."""
+    """The numeric id of a node. It is the same at every proxy and after every restart, as the homes of keys
+    depend on it."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def parse_address(text: object) -> Address:
-    """Host and port from `host:port`. A ValueError says what is wrong."""
+    """Parses `host:port`; raises a ValueError that describes the problem."""
     if not isinstance(text, str):
         raise ValueError(f"expected host:port, got {text!r}")
-    host, mark, port = text.rpartition(":")
-    if not mark or not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"expected host:port, got {text[:60]!r}")
     return host.strip("[]"), int(port)
 
 
 def encode_member(name: str, address: Address, member: Member) -> dict[str, object]:
-    """An entry in discovery's form."""
+    """An entry of the list in the JSON format of discovery."""
     phase = next(word for word, state in PHASES.items() if state is member.state)
     return {
         "id": name,
@@ -57,7 +58,8 @@
 
 
 def decode_node_list(data: object) -> NodeList:
-    """A list in discovery's form; a ValueError says what is wrong with it."""
+    """Decodes a list from the JSON format of discovery; raises a ValueError with the place, the problem and
+    the value."""
     if not isinstance(data, dict):
         raise ValueError("expected an object with revision, complete and members")
     revision, complete, entries = data.get("revision"), data.get("complete"), data.get("members")
--- a/notchflow/net/pool.py
+++ b/notchflow/net/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one address: dialled, kept for the next exchange, and let go of."""
+"""The connection pool of one address: dials, idle connections, expiry."""
 
 from __future__ import annotations
 
@@ -13,70 +13,81 @@
 
 
 class Pool:
-    """The connections to one address: the last to become idle is used first, so that the others age out."""
-
-    __slots__ = ("host", "address", "connect_timeout_ms", "limit", "idle", "dials", "adopting", "retired")
+    """The connections to one address. The one that became idle last is used first, so that the others
+    expire."""
+
+    __slots__ = (
+        "host",
+        "address",
+        "connect_timeout_ms",
+        "idle_limit",
+        "idle",
+        "dials",
+        "adopting",
+        "retired",
+    )
 
     def __init__(
-        self, host: ConnectionHost, address: tuple[str, int], connect_ms: float, limit: IdleLimit
+        self, host: ConnectionHost, address: tuple[str, int], connect_timeout_ms: float, idle_limit: IdleLimit
     ) -> None:
         self.host = host
         self.address = address
-        self.connect_timeout_ms = connect_ms
-        self.limit = limit
+        self.connect_timeout_ms = connect_timeout_ms
+        self.idle_limit = idle_limit
         self.idle: list[Connection] = []
         self.dials: dict[Connection, tuple[asyncio.Task[None], Exchange, TimerId]] = {}
         self.adopting: dict[Connection, asyncio.Task[None]] = {}
         self.retired = False
 
     def send(self, exchange: Exchange, now: float) -> None:
-        """Begins an exchange on an idle connection, or dials for it."""
-        if self.retired:  # whoever decided on it did so by an older list
-            self.host.call_soon(exchange.unsent, None)
+        """Starts an exchange on an idle connection, or dials a new one."""
+        if self.retired:  # the policy decided by an older list
+            self.host.call_soon(exchange.not_sent, None)
             return
         while self.idle:
             connection = self.idle[-1]
-            if now - connection.idle_since > self.limit.limit_ms:
-                break  # the youngest is too old; they are closed in the sweep
+            if now - connection.idle_since > self.idle_limit.limit_ms:
+                break  # even the most recent is too old; `close_expired` closes them all
             self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 connection.start(exchange, now, now - connection.idle_since)
                 return
         if not self.host.acquire_descriptor():
-            exchange.no_descriptor()
+            exchange.await_descriptor()
             return
         connection = Connection(self)
         task = self.host.loop.create_task(self._dial(connection))
-        timer = self.host.call_at(now + self.connect_timeout_ms, self._overdue, connection)
-        self.dials[connection] = task, exchange, timer
+        timer_id = self.host.call_at(now + self.connect_timeout_ms, self._connect_timed_out, connection)
+        self.dials[connection] = task, exchange, timer_id
 
     async def _dial(self, connection: Connection) -> None:
         try:
             await self.host.loop.create_connection(lambda: connection, *self.address)
         except asyncio.CancelledError:
-            self._uncount(connection)
+            self._release_descriptor(connection)
         except OSError:
-            self._uncount(connection)
-            self._undone(connection)
+            self._release_descriptor(connection)
+            self._dial_failed(connection)
 
-    def _overdue(self, connection: Connection) -> None:
+    def _connect_timed_out(self, connection: Connection) -> None:
         if connection in self.dials:
             self.dials[connection][0].cancel()
-            self._undone(connection)
+            self._dial_failed(connection)
 
-    def _undone(self, connection: Connection) -> None:
+    def _dial_failed(self, connection: Connection) -> None:
         dial = self.dials.pop(connection, None)
         if dial is not None:
             self.host.timers.cancel(dial[2])
-            dial[1].failed(False)
+            dial[1].connection_failed(False)
 
-    def _uncount(self, connection: Connection) -> None:
-        if connection.counted:
-            connection.counted = False
+    def _release_descriptor(self, connection: Connection) -> None:
+        if connection.holds_descriptor:
+            connection.holds_descriptor = False
             self.host.release_descriptor()
 
     def adopt(self, sock: socket.socket, idle_ms: float) -> None:
-        """Keeps a connection, counted already, that another process of this proxy had idle for so long."""
+        """Takes over a connection that was idle in another process of this proxy for this long. Its
+        descriptor is already counted."""
         sock.setblocking(False)
         connection = Connection(self)
         connection.idle_since = self.host.clock.now() - idle_ms
@@ -88,23 +99,25 @@
         except OSError:
             del self.adopting[connection]
             sock.close()
-            self._uncount(connection)
+            self._release_descriptor(connection)
 
     def export_idle(self, most: int) -> list[tuple[int, float]]:
-        """Gives up idle connections, the youngest first and so many at most, for another process to go on
-        with: each one's descriptor, and for how long it has been idle, in milliseconds."""
-        given: list[tuple[int, float]] = []
+        """Removes up to `most` idle connections, the most recently used first, for another process to take
+        over. Returns a duplicate descriptor of each, and for how long it has been idle, in milliseconds."""
+        exported: list[tuple[int, float]] = []
         now = self.host.clock.now()
-        while self.idle and len(given) < most and now - self.idle[-1].idle_since <= self.limit.limit_ms:
+        while (
+            self.idle and len(exported) < most and now - self.idle[-1].idle_since <= self.idle_limit.limit_ms
+        ):
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 descriptor = os.dup(connection.transport.get_extra_info("socket").fileno())
-                given.append((descriptor, now - connection.idle_since))
-                connection.close()  # this process's descriptor alone
-        return given
+                exported.append((descriptor, now - connection.idle_since))
+                connection.close()  # closes only this process's descriptor
+        return exported
 
     def opened(self, connection: Connection) -> None:
-        """A dial has succeeded, or a connection that another process had is open here."""
+        """A dial has succeeded, or a connection has been taken over."""
         if self.adopting.pop(connection, None) is not None:
             if self.retired:
                 connection.close()
@@ -114,63 +127,65 @@
         dial = self.dials.pop(connection, None)
         if dial is None:
             connection.close()
-            connection.transport = None  # that it is lost is not told where the dial was cancelled
+            connection.transport = None  # connection_lost is not called for a cancelled dial
             return
-        exchange, timer = dial[1], dial[2]
-        self.host.timers.cancel(timer)
+        exchange, timer_id = dial[1], dial[2]
+        self.host.timers.cancel(timer_id)
         if self.retired:
             connection.close()
-            exchange.failed(False)
-        elif not exchange.wanted(now := self.host.clock.now()):
+            exchange.connection_failed(False)
+        elif not exchange.may_start(now := self.host.clock.now()):
             self.release(connection)
-            exchange.unsent()
+            exchange.not_sent()
         else:
             connection.start(exchange, now)
 
-    def give_up(self, exchange: Exchange) -> None:
-        """The exchange that a dial is for is over: so is the dial."""
-        for connection, (task, waiting, timer) in self.dials.items():
+    def cancel_dial(self, exchange: Exchange) -> None:
+        """Cancels the dial that was made for this exchange."""
+        for connection, (task, waiting, timer_id) in self.dials.items():
             if waiting is exchange:
                 del self.dials[connection]
-                self.host.timers.cancel(timer)
+                self.host.timers.cancel(timer_id)
                 task.cancel()
                 return
 
     def release(self, connection: Connection) -> None:
-        """An exchange is over: the connection rests, unless a dial elsewhere waits for its descriptor."""
+        """An exchange has ended: keeps its connection idle, unless a dial elsewhere waits for a
+        descriptor."""
         if self.retired or self.host.has_waiting_dials():
             connection.close()
             return
-        connection.idle_since = self.host.clock.now()  # its age decides whether and by when it is used again
+        connection.idle_since = self.host.clock.now()  # decides for how long it may be reused
         self.idle.append(connection)
 
     def closed(self, connection: Connection) -> None:
-        """A connection has ended."""
-        self._uncount(connection)
-        self._undone(connection)  # lost as soon as it had come up
+        """A connection has been closed."""
+        self._release_descriptor(connection)
+        self._dial_failed(connection)  # closed before the dial was reported
         self.adopting.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close_expired(self, now: float) -> None:
-        """Closes connections that have been idle for too long."""
-        keep = 0
-        while keep < len(self.idle) and (
-            self.retired or self.idle[keep].idle_since + self.limit.limit_ms <= now
+        """Closes connections that have been idle longer than the limit; all, if the pool is retired."""
+        expired = 0
+        while expired < len(self.idle) and (
+            self.retired or self.idle[expired].idle_since + self.idle_limit.limit_ms <= now
         ):
-            keep += 1
-        for connection in self.idle[:keep]:
+            expired += 1
+        for connection in self.idle[:expired]:
             connection.close()
-        del self.idle[:keep]
+        del self.idle[:expired]
 
     def cancel_dials(self) -> None:
-        """What waits for a connection goes elsewhere: it must not begin at a node that has begun to drain."""
+        """Fails the exchanges that wait for a connection, so that they are retried elsewhere: none may start
+        at a node that has begun to drain."""
         for connection, (task, _, _) in list(self.dials.items()):
             task.cancel()
-            self._undone(connection)
+            self._dial_failed(connection)
 
     def retire(self) -> None:
-        """Nothing new goes here; what is out may finish."""
+        """Starts no new exchange; those that are under way may finish."""
         self.retired = True
         self.close_expired(0.0)
 
--- a/notchflow/net/stalls.py
+++ b/notchflow/net/stalls.py
@@ -1,6 +1,5 @@
-"""Whether the process has stood still (no processor, a pause, a long collection), so that what it reads now
-may have lain unread for longer than a turn of the loop takes. Free of I/O and of a clock; times are
-milliseconds."""
+"""Detects stalls of the process (no CPU, a pause, a long garbage collection), after which the data that it
+reads may have arrived much earlier. Free of I/O and of a clock; times are milliseconds."""
 
 from __future__ import annotations
 
@@ -10,22 +9,21 @@
 
 
 class StallDetector:
-    """Knows the last moment at which the process is known to have run, from a timer that fires every
-    STALL_CHECK_MS.
+    """Records when the process last ran for certain, by a timer that fires every STALL_CHECK_MS.
 
-    A stall shorter than STALL_CHECK_MS is not seen; each longer than twice that is.
+    A stall shorter than STALL_CHECK_MS is not detected; every stall longer than twice that is.
     """
 
-    __slots__ = ("beat_at",)
+    __slots__ = ("last_running_at",)
 
     def __init__(self, now: float) -> None:
-        self.beat_at = now
+        self.last_running_at = now
 
     def mark_running(self, now: float) -> float:
-        """The timer has fired; when it is due next."""
-        self.beat_at = now
+        """The timer has fired; returns when it is due next."""
+        self.last_running_at = now
         return now + STALL_CHECK_MS
 
     def earliest_arrival(self, now: float) -> float:
-        """When what is read now may have come at the earliest."""
-        return now if now - self.beat_at < 2 * STALL_CHECK_MS else self.beat_at
+        """The earliest time at which data that is read now may have arrived."""
+        return now if now - self.last_running_at < 2 * STALL_CHECK_MS else self.last_running_at
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -54,7 +54,7 @@
             await until(lambda: node.writers)
             (item,) = rig.host.active_requests.values()
             node.writers[0].write(answer())
-            rig.host._deadline(item.id)  # before the proxy reads it
+            rig.host._on_deadline(item.id)  # before the proxy reads it
             seen = await client.receive()
             assert seen is not None
             assert seen.status == (504 if cls == "once" else 503)  # a repeat of a read is harmless
@@ -76,7 +76,7 @@
             (pool,) = rig.host.pools.values()
             (connection,) = pool.dials
             dials.up.set()
-            pool._overdue(connection)
+            pool._connect_timed_out(connection)
             seen = await client.receive()
             assert seen is not None and seen.status == 503, "it never ran"
             await all_over(rig)
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -235,8 +235,8 @@
             client = await rig.connect()
             assert (await client.ask()).status == 200  # so that an idle connection to the node is there
             stalls = rig.host.stalls
-            then = stalls.beat_at
-            await until(lambda: stalls.beat_at > then)
+            then = stalls.last_running_at
+            await until(lambda: stalls.last_running_at > then)
             client.send()
             ends_sending(client)
             time.sleep(STALL_S)
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -86,7 +86,7 @@
         conn_idle_ms=7_000.0 * settings.balancers,
     )
     host = Host(config, asyncio.get_running_loop())
-    host.discovery._do = lambda actions: None  # type: ignore[method-assign]
+    host.discovery._execute = lambda actions: None  # type: ignore[method-assign]
     host.apply(known, ListKind.CACHED)
     return host
 
@@ -101,8 +101,8 @@
             assert derived(changed) == derived(fresh)
             for host in (changed, fresh):
                 host.timers.clear()
-                if host.armed is not None:
-                    host.armed.cancel()
+                if host.timer_handle is not None:
+                    host.timer_handle.cancel()
 
     run(test())
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's list and watch, and the configuration, over loopback sockets."""
+"""Lists and watches of discovery, and the configuration, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from tests.rig import Peer, Rig, Seen, answer, run, serve_value, stopped, until
 
 
-def test_a_watch_goes_on_from_each_answer_and_deltas_are_applied() -> None:
+def test_a_watch_continues_from_each_answer_and_deltas_are_applied() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            told = rig.told(Membership)
+            memberships = rig.told(Membership)
             rig.host.discovery.watch(True)
-            seen, writer = await rig.calls.get()
-            assert seen.line.startswith("GET /registry/instances?index=41&wait=")
+            call, writer = await rig.calls.get()
+            assert call.line.startswith("GET /registry/instances?index=41&wait=")
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            seen, writer = await rig.calls.get()
-            assert "index=43" in seen.line, "the next call leaves at once"
-            assert told[-1].kind is ListKind.DELTA
-            assert (await rig.ask()).status == 503 and rig.sent == 0, "a draining node gets nothing new"
+            call, writer = await rig.calls.get()
+            assert "index=43" in call.line, "the next call is made at once"
+            assert memberships[-1].kind is ListKind.DELTA
+            assert (await rig.ask()).status == 503 and rig.sent == 0, "a draining node gets no new requests"
             writer.write(rig.listing(44))
             await rig.calls.get()
             assert (await rig.ask()).status == 200
@@ -41,21 +41,21 @@
     run(test())
 
 
-def test_a_list_cut_off_at_any_byte_is_one_failure_and_nothing_known_is_lost() -> None:
-    """Also without a word of its length, and of another list than the one that is known."""
+def test_a_list_truncated_at_any_byte_is_one_failure_and_loses_no_known_node() -> None:
+    """Also before its Content-Length, and with a list that differs from the known one."""
 
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            told = rig.told(Membership)
+            memberships = rig.told(Membership)
             whole = rig.listing(44, True, [rig.entry(0), rig.entry(0, id="s-9")])
             for cut in range(0, len(whole), 5):
-                told.clear()
+                memberships.clear()
                 rig.host.discovery.watch(True)
                 _, writer = await rig.calls.get()
                 writer.write(whole[:cut])
                 writer.close()
-                await until(lambda: told)
-                assert [m.kind for m in told] == [ListKind.FAILED], cut
+                await until(lambda: memberships)
+                assert [m.kind for m in memberships] == [ListKind.FAILED], cut
                 assert len(rig.host.listed_nodes) == 1 and rig.host.discovery.revision == 41
             assert (await rig.ask()).status == 200
             rig.host.discovery.watch(True)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 10_000])
-def test_a_list_of_one_node_and_of_ten_thousand_is_taken_over(count: int) -> None:
+def test_lists_of_one_and_of_ten_thousand_nodes_are_applied(count: int) -> None:
     async def test() -> None:
         async with Rig() as rig:
             rig.host.discovery.watch(True)
@@ -97,15 +97,15 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + b"[" * 5_000_000,
     ],
 )
-def test_a_bad_answer_is_one_failure_and_leaves_the_old_list(data: bytes) -> None:
+def test_a_bad_answer_is_one_failure_and_keeps_the_old_list(data: bytes) -> None:
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            told = rig.told(Membership)
+            memberships = rig.told(Membership)
             rig.host.discovery.watch(True)
             _, writer = await rig.calls.get()
             writer.write(data)
-            await until(lambda: told)
-            assert [m.kind for m in told] == [ListKind.FAILED]
+            await until(lambda: memberships)
+            assert [m.kind for m in memberships] == [ListKind.FAILED]
             assert rig.host.metrics.registry_failures == 1
             assert (await rig.ask()).status == 200
 
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "told"),
+    ("entry", "message"),
     [
         ({"phase": "odd"}, "members[1]: expected phase to be one of up, draining, removed, got 'odd'"),
         ({"id": None}, "members[1]: expected a name in id, got None"),
@@ -134,19 +134,19 @@
         ({"phase": []}, "members[1]: "),
     ],
 )
-def test_a_bad_entry_is_told_with_its_place_and_value(entry: object, told: str) -> None:
+def test_an_invalid_entry_is_reported_with_its_place_and_value(entry: object, message: str) -> None:
     bad = GOOD | {"id": "s-2"} | entry if isinstance(entry, dict) else entry
     with pytest.raises(ValueError) as caught:
         decode_node_list({"revision": 1, "complete": True, "members": [GOOD, bad]})
-    assert str(caught.value).startswith(told)
+    assert str(caught.value).startswith(message)
 
 
-def test_an_entry_without_its_address_says_what_it_lacks() -> None:
+def test_an_entry_without_an_address_is_reported_with_the_missing_field() -> None:
     with pytest.raises(ValueError, match=r"members\[0\]: lacks host_port"):
         decode_node_list({"revision": 1, "complete": True, "members": [{"id": "s-1", "phase": "up"}]})
 
 
-def test_a_change_among_1_024_nodes_reaches_the_requests_that_come_next() -> None:
+def test_a_change_among_1_024_nodes_applies_to_the_next_requests() -> None:
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
             rig.host.discovery.watch(True)
@@ -158,15 +158,15 @@
             drains = [m | {"phase": "draining"} for m in members[1:]]
             writer.write(rig.listing(45, False, drains))
             await rig.calls.get()
-            sent = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             for n in range(20):
                 assert (await rig.ask(path=f"/api/{n:016x}")).status == 200
-            assert {o.node for o in sent} == {node_id("s-0")}
+            assert {o.node for o in outcomes} == {node_id("s-0")}
 
     run(test())
 
 
-def test_a_list_that_is_indented_and_comes_a_byte_at_a_time_is_taken() -> None:
+def test_an_indented_list_received_a_byte_at_a_time_is_applied() -> None:
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
             rig.host.discovery.watch(True)
@@ -182,7 +182,7 @@
     run(test())
 
 
-def test_an_answer_that_never_ends_holds_the_list_up_no_longer_than_a_silence(
+def test_an_endless_answer_delays_the_list_no_longer_than_a_missing_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(watch, "PUSH_WAIT_MS", 20)
@@ -203,42 +203,42 @@
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
             await until(lambda: rig.host.discovery.revision == 43)
             assert (await rig.ask()).status == 503 and rig.sent == 0
-            await task  # its connection is closed
+            await task  # ends as its connection is closed
 
     run(test())
 
 
-def test_an_id_at_another_address_an_address_with_another_id_and_an_id_that_comes_back() -> None:
+def test_an_id_with_a_new_address_an_address_with_a_new_id_and_an_id_that_returns() -> None:
     async def test() -> None:
         async with Rig(serve_value, serve_value, list_on_request=True) as rig:
             host, first, second = rig.host, *rig.nodes
 
-            def told(*entries: dict[str, Any]) -> None:
+            def apply_entries(*entries: dict[str, Any]) -> None:
                 kind = ListKind.FULL if host.discovery.revision == 41 else ListKind.DELTA
                 host.discovery.revision = 42
                 listing = {"revision": 42, "complete": False, "members": list(entries)}
                 host.apply(decode_node_list(listing), kind)
 
-            told(rig.entry(0))
+            apply_entries(rig.entry(0))
             assert (await rig.ask()).status == 200 and (len(first.seen), len(second.seen)) == (1, 0)
             moved = rig.entry(1, id="s-0")
-            told(moved)
+            apply_entries(moved)
             assert (await rig.ask()).status == 200 and (len(first.seen), len(second.seen)) == (1, 1)
             await until(lambda: not first.open)
-            told(moved | {"phase": "draining"}, rig.entry(1, id="s-9"))
+            apply_entries(moved | {"phase": "draining"}, rig.entry(1, id="s-9"))
             outcomes = rig.told(Outcome)
             assert (await rig.ask()).status == 200 and len(second.seen) == 2
-            assert [o.node for o in outcomes] == [node_id("s-9")], "the box behind it is another's now"
-            told(moved | {"phase": "removed"}, rig.entry(1, id="s-9", phase="removed"))
+            assert [o.node for o in outcomes] == [node_id("s-9")], "the address belongs to another id now"
+            apply_entries(moved | {"phase": "removed"}, rig.entry(1, id="s-9", phase="removed"))
             assert (await rig.ask()).status == 503 and (len(first.seen), len(second.seen)) == (1, 2)
-            told(rig.entry(0, up_since_ms=1.0))
+            apply_entries(rig.entry(0, up_since_ms=1.0))
             assert (await rig.ask()).status == 200 and len(first.seen) == 2
 
     run(test())
 
 
-def test_nothing_begins_at_a_node_that_has_begun_to_drain_whoever_asks_for_it() -> None:
-    """The last check before the first byte: whatever decided to send there, the list says no."""
+def test_no_attempt_starts_at_a_retired_pool_even_if_the_policy_sends_one() -> None:
+    """The last check before the first byte, as the policy may have decided by an older list."""
 
     async def test() -> None:
         async with Rig() as rig:
@@ -249,13 +249,13 @@
             assert (await rig.ask()).status == 503 and rig.sent == 1
             assert {o.status for o in outcomes} == {Status.MOOT}
             pool.retired = False
-            spare = rig.host.acquire_descriptor
+            acquire = rig.host.acquire_descriptor
 
-            def descriptor() -> bool:
-                pool.retired = True  # before the connection comes up
-                return spare()
+            def retire_and_acquire() -> bool:
+                pool.retired = True  # before the connection is established
+                return acquire()
 
-            rig.host.acquire_descriptor = descriptor  # type: ignore[method-assign]
+            rig.host.acquire_descriptor = retire_and_acquire  # type: ignore[method-assign]
             dialled = rig.nodes[0].connections
             assert (await rig.ask()).status == 503 and rig.sent == 1
             assert rig.nodes[0].connections == dialled + 1
@@ -265,9 +265,9 @@
 
 
 @pytest.mark.parametrize("ending", [False, True])
-def test_what_waits_for_a_connection_to_a_node_that_drains_goes_elsewhere(ending: bool) -> None:
-    """Guards against a request that begins at a draining node once its connection is up at last; where it is
-    `ending`, against one that SIGTERM, with the dial under way, leaves without its answer."""
+def test_a_request_waiting_for_a_connection_to_a_node_that_drains_goes_elsewhere(ending: bool) -> None:
+    """Guards against a request that starts at a draining node once its connection is established, and, where
+    the process is `ending`, against one that SIGTERM during the dial leaves unanswered."""
 
     async def test() -> None:
         async with Rig(serve_value, serve_value) as rig:
@@ -297,8 +297,8 @@
                     ),
                     ListKind.DELTA,
                 )
-                seen = await client.receive()
-                assert seen is not None and seen.status == 200
+                response = await client.receive()
+                assert response is not None and response.status == 200
                 assert [len(n.seen) for n in rig.nodes] == [1, 1]
                 if ending:
                     await until(lambda: ended)
@@ -308,46 +308,48 @@
     run(test())
 
 
-@pytest.mark.parametrize("asked", [True, False])
-def test_a_watch_that_fell_silent_is_replaced_and_given_up_only_then(
-    monkeypatch: pytest.MonkeyPatch, asked: bool
+@pytest.mark.parametrize("on_request", [True, False])
+def test_a_dead_watch_is_replaced_and_cancelled_only_after_that(
+    monkeypatch: pytest.MonkeyPatch, on_request: bool
 ) -> None:
-    """Guards against a list held until the wait is over, when all proxies ask at once and too late."""
+    """Guards against keeping a dead watch until its wait is over, when all proxies call at once and too
+    late."""
     monkeypatch.setattr(watch, "RENEWAL_RANGE_MS", (20.0, 60.0))
     monkeypatch.setattr(watch, "PUSH_WAIT_MS", 20)
     monkeypatch.setattr(watch, "PUSH_MARGIN_MS", 20.0)
 
     async def test() -> None:
-        async with Rig(list_on_request=asked) as rig:
-            told = rig.told(Membership)
+        async with Rig(list_on_request=on_request) as rig:
+            memberships = rig.told(Membership)
             rig.host.discovery.watch(True)
-            if asked:  # it shows first that it hears the proxy
-                seen, writer = await rig.calls.get()
-                assert "wait=1 " in seen.line
+            if on_request:  # the first call proves that discovery is reachable
+                call, writer = await rig.calls.get()
+                assert "wait=1 " in call.line
                 writer.write(rig.listing(41, False, []))
-                await until(lambda: told)
-                told.clear()
-            seen, silent = await rig.calls.get()
-            assert f"wait={60_000 if asked else 20} " in seen.line
-            seen, writer = await rig.calls.get()
-            assert "index=41" in seen.line and not silent.transport.is_closing()
-            assert not told, "no failure: nothing is known to be wrong"
+                await until(lambda: memberships)
+                memberships.clear()
+            call, silent = await rig.calls.get()
+            assert f"wait={60_000 if on_request else 20} " in call.line
+            call, writer = await rig.calls.get()
+            assert "index=41" in call.line and not silent.transport.is_closing()
+            assert not memberships, "no failure is reported, as none is certain"
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            await until(lambda: told)
-            assert [m.kind for m in told] == [ListKind.DELTA]
+            await until(lambda: memberships)
+            assert [m.kind for m in memberships] == [ListKind.DELTA]
             assert (await rig.ask()).status == 503 and rig.sent == 0
             assert rig.host.discovery.list_watch.phase is not watch.Phase.RENEWING
 
     run(test())
 
 
-def test_a_new_process_is_ready_once_it_has_heard_what_the_agent_has() -> None:
-    """What the agent has counts as told from the first moment: a known list may name nodes that drain."""
+def test_a_new_process_is_ready_once_the_agent_has_answered() -> None:
+    """What the agent has counts as announced from the start, and the known list may contain nodes that
+    drain."""
 
     async def test() -> None:
         async with Rig(greets=False) as rig:
-            seen, writer = await rig.calls.get()
-            assert "index=41&wait=1 " in seen.line
+            call, writer = await rig.calls.get()
+            assert "index=41&wait=1 " in call.line
             assert (await rig.ask(path="/health/ready")).status == 503
             writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
             await rig.calls.get()
@@ -357,7 +359,7 @@
     run(test())
 
 
-def test_a_new_process_serves_with_the_list_that_is_known_where_the_agent_is_silent() -> None:
+def test_a_new_process_serves_with_the_known_list_if_the_agent_does_not_answer() -> None:
     async def test() -> None:
         async with Rig(greets=False) as rig:
             await rig.calls.get()
@@ -368,8 +370,8 @@
     run(test())
 
 
-def test_discovery_is_heard_where_all_descriptors_are_in_use() -> None:
-    """Guards against a list that stays as it was while clients and nodes have all descriptors."""
+def test_discovery_works_while_all_descriptors_are_in_use() -> None:
+    """Guards against a stale list while clients and nodes use all descriptors."""
 
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
@@ -383,35 +385,38 @@
     run(test())
 
 
-def test_discovery_that_moves_is_followed_at_once_and_the_old_one_is_left() -> None:
+def test_a_new_discovery_address_is_used_at_once_and_the_old_one_is_left() -> None:
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            told = rig.told(Membership)
+            memberships = rig.told(Membership)
             rig.host.discovery.watch(True)
             _, old = await rig.calls.get()
             moved = Peer(rig._answer_discovery)
             await moved.start()
             config = replace(rig.host.config, discovery=("127.0.0.1", moved.port))
             rig.host.reload(config)
-            seen, new = await rig.calls.get()
-            assert "index=41" in seen.line and len(moved.seen) == 1, "the list goes on where it was"
+            call, new = await rig.calls.get()
+            assert (
+                "index=41" in call.line and len(moved.seen) == 1
+            ), "the watch continues from the known revision"
             await until(lambda: not rig.discovery.open)
             rig.host.reload(config)
             new.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            seen, _ = await rig.calls.get()
-            assert "index=43" in seen.line and len(moved.seen) == 2 and len(rig.discovery.seen) == 1
-            assert [m.kind for m in told] == [ListKind.DELTA]
+            call, _ = await rig.calls.get()
+            assert "index=43" in call.line and len(moved.seen) == 2 and len(rig.discovery.seen) == 1
+            assert [m.kind for m in memberships] == [ListKind.DELTA]
             assert (await rig.ask()).status == 503 and rig.sent == 0
             moved.stop()
-            await until(lambda: len(told) > 1)
+            await until(lambda: len(memberships) > 1)
 
     run(test())
 
 
-def test_the_program_lives_through_a_hangup_and_reads_from_the_file_where_discovery_is(
+def test_sighup_does_not_end_the_program_and_reloads_the_discovery_address(
     tmp_path: Path,
 ) -> None:
-    """Guards against SIGHUP's default, which ends a process, and against the variable of the start."""
+    """Guards against the default action of SIGHUP, which ends a process, and against an environment variable
+    that overrides the reloaded file."""
 
     def listing(port: int) -> dict[str, object]:
         return {
@@ -427,7 +432,7 @@
         calls = [asyncio.Event(), asyncio.Event()]
 
         def peer(number: int) -> Peer:
-            async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            async def script(request: Seen, writer: asyncio.StreamWriter) -> None:
                 calls[number].set()
 
             return Peer(script)
@@ -448,7 +453,7 @@
         proxy = await asyncio.create_subprocess_exec(sys.executable, "-m", "notchflow", env=env)
         try:
             await calls[0].wait()
-            await until_listening(port)  # its handlers are set before it listens
+            await until_listening(port)  # signal handlers are installed before it listens
             path.write_text("{")
             proxy.send_signal(signal.SIGHUP)
             await until_listening(port)
@@ -463,7 +468,7 @@
             for server in (first, second):
                 server.stop()
 
-    run(test(), patience_s=60.0)  # a program has to start
+    run(test(), patience_s=60.0)  # includes the start of the program
 
 
 async def until_listening(port: int) -> None:
@@ -476,29 +481,29 @@
             await asyncio.sleep(0.01)
 
 
-def test_where_lists_are_pushed_a_failed_watch_is_begun_again() -> None:
-    """Guards against a list that stays as it was for good once the agent has failed."""
+def test_with_pushed_lists_a_failed_watch_is_restarted() -> None:
+    """Guards against a list that is never updated again after a failure of the agent."""
 
     async def test() -> None:
         async with Rig() as rig:
-            told = rig.told(Membership)
+            memberships = rig.told(Membership)
             _, writer = await rig.calls.get()
             writer.transport.abort()
             _, writer = await rig.calls.get()
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            await until(lambda: len(told) == 2)
-            assert [m.kind for m in told] == [ListKind.FAILED, ListKind.DELTA]
+            await until(lambda: len(memberships) == 2)
+            assert [m.kind for m in memberships] == [ListKind.FAILED, ListKind.DELTA]
 
     run(test())
 
 
-def test_a_node_s_number_is_the_same_at_every_proxy() -> None:
+def test_a_nodes_id_is_the_same_at_every_proxy() -> None:
     assert node_id("s-5be2a07c") == node_id("s-5be2a07c") != node_id("s-5be2a07d")
     assert node_id("s-5be2a07c") < 1 << 64
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]", "{}", json.dumps({"settings": {"Classes": []}})])
-def test_a_bad_configuration_ends_with_one_plain_line(text: str | None, tmp_path: Path) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -510,8 +515,9 @@
     assert len(done.stderr.splitlines()) == 1 and "Traceback" not in done.stderr
 
 
-def test_the_limits_and_idle_time_that_the_platform_states_are_the_ones_kept(tmp_path: Path) -> None:
-    """Guards against budgets for a larger machine: the platform kills over its memory, not over ours."""
+def test_the_limits_and_idle_time_of_the_configuration_are_used(tmp_path: Path) -> None:
+    """Guards against budgets for a larger machine: the platform kills a process that exceeds its memory
+    limit."""
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and the keep-alive pool, over loopback sockets."""
+"""Attempts and the connection pool, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import random
 
 from notchflow.interface import Outcome, Status
-from notchflow.net.connection import FADE_MS, IdleLimit
+from notchflow.net.connection import DECAY_INTERVAL_MS, IdleLimit
 from tests.rig import Rig, Seen, answer, run, serve_value, until
 
 
-def test_a_break_in_midst_of_an_answer_says_nothing_of_idle_ages() -> None:
-    async def cut(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def test_a_failure_in_the_middle_of_a_response_does_not_count_against_idle_time() -> None:
+    async def cut(request: Seen, writer: asyncio.StreamWriter) -> None:
         if len(rig.nodes[0].seen) == 2:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nva")
             await writer.drain()
@@ -25,14 +25,14 @@
             await client.ask()
             await client.ask()
             await until(lambda: rig.sent == 2)
-            assert sum(rig.host.idle_limit.breaks) == 0
+            assert sum(rig.host.idle_limit.failures) == 0
 
     rig = Rig(cut)
     run(test())
 
 
-def test_a_connection_is_used_again_and_its_age_counts_from_its_last_answer() -> None:
-    """Guards against a new connection for each request: nodes hold few, and each costs them work."""
+def test_a_connection_is_reused_and_its_idle_time_counts_from_its_last_response() -> None:
+    """Guards against a new connection for each request: nodes allow few, and each costs them work."""
 
     async def test() -> None:
         async with Rig() as rig:
@@ -42,28 +42,30 @@
             assert rig.nodes[0].connections == 1
             (pool,) = rig.host.pools.values()
             (connection,) = pool.idle
-            assert 0 <= rig.host.clock.now() - connection.idle_since < pool.limit.limit_ms
-            pool.close_expired(connection.idle_since + pool.limit.limit_ms - 1)
+            assert 0 <= rig.host.clock.now() - connection.idle_since < pool.idle_limit.limit_ms
+            pool.close_expired(connection.idle_since + pool.idle_limit.limit_ms - 1)
             assert pool.idle, "younger than the limit: kept"
-            pool.close_expired(connection.idle_since + pool.limit.limit_ms)
+            pool.close_expired(connection.idle_since + pool.idle_limit.limit_ms)
             await until(lambda: not rig.nodes[0].open)
-            assert not pool.idle, "nodes close at their idle time; a request that crosses it is a reset"
+            assert (
+                not pool.idle
+            ), "nodes close connections at their own limit, and a request sent at that moment is reset"
 
     run(test())
 
 
-def test_without_a_descriptor_to_dial_with_no_node_is_blamed() -> None:
-    """Guards against ejecting every node because the proxy's own sockets ran out."""
+def test_a_lack_of_descriptors_does_not_count_against_nodes() -> None:
+    """Guards against ejecting every node because the proxy itself has run out of sockets."""
 
     async def test() -> None:
         async with Rig(serve_value, serve_value) as rig:
-            told = rig.told(Outcome)
+            outcomes = rig.told(Outcome)
             client = await rig.connect()
             assert (await client.ask(path="/health/ready")).status == 200
             rig.host.descriptor_limit = 0
             for _ in range(3):
                 assert (await client.ask("PUT", body=b"paid", X_Call_Class="once")).status == 503
-            assert {o.status for o in told} == {Status.MOOT}
+            assert {o.status for o in outcomes} == {Status.MOOT}
             rig.host.descriptor_limit = 100
             assert (await client.ask()).status == 200
             assert not any(n.failures or n.ejected_until for n in rig.host.balancer.fleet.ready)
@@ -71,20 +73,21 @@
     run(test())
 
 
-def test_ages_that_break_more_than_younger_ones_are_given_up_and_tried_again() -> None:
+def test_idle_times_that_fail_more_than_shorter_ones_are_excluded_and_tried_again_later() -> None:
     limit, stated = IdleLimit(10_000), IdleLimit(10_000).limit_ms
     for number in range(40):
-        limit.count(50.0, False)
-        limit.count(300.0, number % 2 == 0)
+        limit.record_use(50.0, False)
+        limit.record_use(300.0, number % 2 == 0)
     assert 50.0 < limit.limit_ms <= 300.0
     for turn in range(1, 8):
-        limit.decay(turn * FADE_MS)
+        limit.decay(turn * DECAY_INTERVAL_MS)
     assert limit.limit_ms == stated
 
 
-def test_breaks_at_every_age_do_not_give_up_kept_connections() -> None:
-    """Incident rac6d92: the network broke connections at random, new ones most; dialling more cost twice."""
+def test_failures_at_every_idle_time_do_not_lower_the_limit() -> None:
+    """Incident rac6d92: the network broke connections at random, new ones most often, so that more dials made
+    it worse."""
     limit, stated, rng = IdleLimit(10_000), IdleLimit(10_000).limit_ms, random.Random(5)
     for _ in range(2_000):
-        limit.count(rng.choice([None, 10.0, 60.0, 200.0, 800.0]), rng.random() < 0.08)
+        limit.record_use(rng.choice([None, 10.0, 60.0, 200.0, 800.0]), rng.random() < 0.08)
         assert limit.limit_ms == stated
