--- a/tests/crossings/test_close.py
+++ b/tests/crossings/test_close.py
@@ -1,5 +1,6 @@
-"""A close crosses bytes: a request on a resting connection, requests sent ahead, a flood, an answer that is
-still on its way. What was written arrives, what was read is answered, and a close ends within its bound."""
+"""Races of a close with data: a request on an idle connection, pipelined requests, a flood, a response that
+is still being sent. What was written arrives, what was read is answered, and a close ends within its
+bound."""
 
 from __future__ import annotations
 
@@ -9,9 +10,9 @@
 
 import pytest
 
-from notchflow.net import client as downstream
-from notchflow.net import frontend as entrance
-from tests.crossings.forced import all_over
+from notchflow.net import client as client_module
+from notchflow.net import frontend
+from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
 from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
 
@@ -20,8 +21,8 @@
 
 
 class Raw:
-    """A client's socket whose bytes are in the proxy's system as soon as they are written: the loop of the
-    test, which is the proxy's, need not turn in between."""
+    """A client's socket whose bytes are in the kernel as soon as `send` returns: the event loop, which the
+    test shares with the proxy, does not run in between."""
 
     def __init__(self, rig: Rig) -> None:
         self.sock = socket.create_connection(("127.0.0.1", rig.port))
@@ -31,7 +32,7 @@
         self.sock.sendall(data)
 
     async def read(self, until_end: bool = False, size: int = 1) -> bytes:
-        """What comes, up to the connection's end or so many bytes. A reset is raised."""
+        """Reads up to the end of the connection, or at least `size` bytes. A reset raises an error."""
         data = b""
         loop = asyncio.get_running_loop()
         while until_end or len(data) < size:
@@ -42,8 +43,8 @@
         return data
 
 
-async def resting(rig: Rig) -> Raw:
-    """A connection that has had one answer."""
+async def idle_client(rig: Rig) -> Raw:
+    """A connection that has received one response and is idle."""
     raw = Raw(rig)
     raw.send(ASK)
     await until(lambda: rig.host.frontend.idle and rig.sent and not rig.host.active_requests)
@@ -51,61 +52,61 @@
     return raw
 
 
-def test_a_request_that_lies_unread_as_the_process_is_told_to_end_is_answered() -> None:
+def test_a_request_that_is_unread_at_shutdown_is_answered() -> None:
     async def test() -> None:
         async with Rig() as rig:
             ended = stopped(rig.host)
-            raw = await resting(rig)
+            raw = await idle_client(rig)
             rig.host.stop()
-            raw.send(ASK)  # it is there, and nothing has read it
+            raw.send(ASK)  # in the kernel, not read yet
             rig.host._drain()
             data = await raw.read(until_end=True)
             assert data.startswith(b"HTTP/1.1 200") and b"Connection: close" in data
             raw.sock.close()
             await until(lambda: ended)
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
-def test_a_request_that_lies_unread_as_its_silent_connection_is_to_end_is_answered(
+def test_a_request_that_is_unread_as_its_idle_connection_times_out_is_answered(
     asked_before: bool,
 ) -> None:
-    """Guards against a first or further request that is dropped by the close of an idle connection."""
+    """Guards against closing an idle connection on which a first or later request is unread."""
 
     async def test() -> None:
         async with Rig() as rig:
-            raw = await resting(rig) if asked_before else Raw(rig)
+            raw = await idle_client(rig) if asked_before else Raw(rig)
             await until(lambda: rig.host.frontend.idle)
-            raw.send(ASK)  # it is there, and nothing has read it
-            rig.host.frontend.sweep(rig.host.clock.now() + downstream.IDLE_TIMEOUT_MS + 1.0)
+            raw.send(ASK)  # in the kernel, not read yet
+            rig.host.frontend.sweep(rig.host.clock.now() + client_module.IDLE_TIMEOUT_MS + 1.0)
             assert (await raw.read()).startswith(b"HTTP/1.1 200")
             raw.sock.close()
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
-def test_a_request_that_comes_after_the_close_is_not_sent_on_and_sees_an_end_not_a_reset() -> None:
+def test_a_request_after_the_close_is_not_forwarded_and_sees_an_end_not_a_reset() -> None:
     async def test() -> None:
         async with Rig() as rig:
             ended = stopped(rig.host)
-            raw = await resting(rig)
+            raw = await idle_client(rig)
             rig.host.stop()
             rig.host._drain()
-            raw.send(ASK)  # the close is under way
+            raw.send(ASK)  # the connection is being closed
             assert await raw.read(until_end=True) == b""
             sent = rig.sent
             raw.sock.close()
             await until(lambda: ended)
-            await all_over(rig)
+            await assert_all_finished(rig)
             assert rig.sent == sent == 1
 
     run(test())
 
 
-def test_all_that_was_read_before_the_process_is_told_to_end_is_answered() -> None:
+def test_all_requests_read_before_shutdown_are_answered() -> None:
     async def test() -> None:
         gate = Gate(serve_value)
         async with Rig(gate) as rig:
@@ -119,15 +120,15 @@
             assert data.count(b"HTTP/1.1 200") == 3 and data.count(b"Connection: close") == 1
             raw.sock.close()
             await until(lambda: ended)
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
-def test_an_answer_on_its_way_is_not_lost_to_bytes_behind_its_request() -> None:
+def test_a_response_in_flight_is_not_lost_to_data_behind_its_request() -> None:
     body = b"v" * 50_000
 
-    async def long(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def long(request: Seen, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
         writer.write(answer(body))
 
@@ -140,23 +141,23 @@
             await until(lambda: rig.sent)
             (kept,) = rig.host.frontend.clients
             assert kept.transport is not None
-            kept.transport.pause_reading()  # what follows lies unread as the answer is written
+            kept.transport.pause_reading()  # further data stays unread while the response is written
             raw.send(100 * ASK)
             gate.set()
             data = await raw.read(until_end=True)
             assert data.endswith(body)
             raw.sock.close()
-            await all_over(rig)
+            await assert_all_finished(rig)
             assert rig.sent == 1
 
     run(test())
 
 
-def test_what_comes_behind_an_answer_that_was_told_to_be_the_last_leaves_nothing_held() -> None:
+def test_a_body_received_after_connection_close_was_announced_leaves_nothing_buffered() -> None:
     put = ASK.replace(b"GET", b"PUT").replace(b"\r\n\r\n", b"\r\nContent-Length: 9\r\n\r\ntoo late.")
     half = b"v" * 50_000
 
-    async def in_two(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def in_two(request: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(2 * half)[: -len(half)])
         await gate.wait()
         writer.write(half)
@@ -174,13 +175,15 @@
             gate.set()
             assert (await raw.read(until_end=True)).endswith(half)
             raw.sock.close()
-            await all_over(rig)
+            await assert_all_finished(rig)
             assert rig.sent == 1
 
     run(test())
 
 
-def test_who_goes_on_sending_after_a_close_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_keeps_sending_after_a_close_is_disconnected_in_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with Rig() as rig:
             raw = Raw(rig)
@@ -190,21 +193,21 @@
             kept.active_at = 0.0
             raw.send(1_000 * ASK)
             await until(lambda: kept.active_at)
-            monkeypatch.setattr(downstream, "LINGER_MS", -1.0)
+            monkeypatch.setattr(client_module, "LINGER_MS", -1.0)
             kept.close_if_timed_out(rig.host.clock.now())
             await until(lambda: not rig.host.frontend.clients)
-            await all_over(rig)
+            await assert_all_finished(rig)
             assert rig.sent == 1
 
     run(test())
 
 
-def test_a_close_that_lingers_makes_room_before_anybody_else(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(entrance, "MIN_IDLE_MS", 0.0)
+def test_a_lingering_connection_is_closed_for_room_before_any_other(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(frontend, "MIN_IDLE_MS", 0.0)
 
     async def test() -> None:
         async with Rig() as rig:
-            raw, other = Raw(rig), await resting(rig)
+            raw, other = Raw(rig), await idle_client(rig)
             raw.send(LAST)
             await until(lambda: rig.host.frontend.lingering)
             assert rig.host.frontend.close_idle()
@@ -212,7 +215,7 @@
             await until(lambda: not frontend.lingering and len(frontend.clients) == 1)
             assert frontend.clients.keys() == frontend.idle.keys()
             other.sock.close()
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
@@ -221,14 +224,14 @@
     return int(transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
-def test_small_writes_are_held_back_on_neither_side() -> None:
+def test_small_writes_are_not_delayed_on_either_side() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            raw = await resting(rig)
+            raw = await idle_client(rig)
             (client,) = rig.host.frontend.clients
             (pool,) = rig.host.pools.values()
             assert nodelay(client.transport) and nodelay(pool.idle[0].transport)
-            # and on those that another process of this proxy had
+            # also on connections taken over from another process of this proxy
             (descriptor,) = rig.host.frontend.hand_over_idle(1)
             rig.host.adopt_client_connection(socket.socket(fileno=descriptor))
             node = next(iter(rig.host.pools))
@@ -238,6 +241,6 @@
             (client,) = rig.host.frontend.idle
             assert nodelay(client.transport) and all(nodelay(c.transport) for c in pool.idle)
             raw.sock.close()
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -1,5 +1,5 @@
-"""Idle clients have taken all descriptors while discovery is down, and then a node begins to drain: the call,
-the dial and the answer each still find one."""
+"""With all descriptors in use: the call to discovery, a dial and a new client each still get one, and no
+request is lost for it."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from notchflow.net import dispatcher
 from notchflow.net.frontend import MIN_IDLE_MS
-from tests.crossings.forced import all_over
+from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
 from tests.rig import Client, Rig, Seen, run, serve_value, until
 
-SOCKETS = 64  # 40 for clients and nodes
+SOCKETS = 64  # leaves 40 for clients and nodes
 
 
-def test_a_drain_at_discovery_s_return_is_heard_and_served_around_where_idle_clients_fill_all() -> None:
+def test_a_drain_announced_after_an_outage_is_applied_while_idle_clients_use_all_descriptors() -> None:
     async def test() -> None:
         async with Rig(serve_value, serve_value, limits={"sockets": SOCKETS}) as rig:
             frontend, port = rig.host.frontend, rig.discovery.port
@@ -34,20 +34,20 @@
                 _, writer = await rig.calls.get()
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
             await until(lambda: rig.host.discovery.revision == 43)
-            answers = await asyncio.gather(*(rig.ask(path=f"/api/{n:016x}") for n in range(8)))
-            assert [a.status for a in answers] == [200] * 8
+            responses = await asyncio.gather(*(rig.ask(path=f"/api/{n:016x}") for n in range(8)))
+            assert [r.status for r in responses] == [200] * 8
             assert [len(n.seen) for n in rig.nodes] == [0, 8]
             assert rig.host.descriptors_used <= rig.host.descriptor_limit
             for sock in crowd:
                 sock.close()
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
-async def short_of_descriptors(rig: Rig) -> list[Client]:
-    """Three clients that have been still for long; the first asks again on the only connection to the node,
-    and no descriptor is left for a second one."""
+async def use_all_descriptors(rig: Rig) -> list[Client]:
+    """Three clients that have been idle for long; the first sends a request on the only connection to the
+    node, and no descriptor is left for a second connection."""
     clients = [await rig.connect() for _ in range(3)]
     for client in clients:
         assert (await client.ask(path="/api/00aa")).status == 200
@@ -59,72 +59,72 @@
     return clients
 
 
-def held_by(gate: Gate) -> Rig:
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        await (gate if "held" in seen.line else serve_value)(seen, writer)
+def make_gated_rig(gate: Gate) -> Rig:
+    async def script(request: Seen, writer: asyncio.StreamWriter) -> None:
+        await (gate if "held" in request.line else serve_value)(request, writer)
 
     return Rig(script)
 
 
-def test_a_dial_waits_for_a_descriptor_and_takes_none_of_a_client_s(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against requests lost as their idle connection was closed for a dial."""
+def test_a_dial_waits_for_a_descriptor_and_closes_no_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against lost requests because an idle client was closed for a dial."""
     monkeypatch.setattr(dispatcher, "DESCRIPTOR_WAIT_MS", 60_000.0)
 
     async def test() -> None:
         gate = Gate(serve_value)
-        async with held_by(gate) as rig:
-            clients = await short_of_descriptors(rig)
+        async with make_gated_rig(gate) as rig:
+            clients = await use_all_descriptors(rig)
             clients[1].send(path="/api/00aa")
             await until(rig.host.has_waiting_dials)
             gate.open.set()
-            answers = [await client.receive() for client in clients[:2]]
-            assert [seen and seen.status for seen in answers] == [200, 200]
+            responses = [await client.receive() for client in clients[:2]]
+            assert [response and response.status for response in responses] == [200, 200]
             assert (
                 len(rig.host.frontend.clients) == 3 and rig.host.descriptors_used <= rig.host.descriptor_limit
             )
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
-def test_a_dial_that_is_given_up_waits_for_no_descriptor_any_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against connections closed for the sake of a request that is over."""
+def test_an_abandoned_dial_no_longer_waits_for_a_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against closing connections for a request that has ended."""
     monkeypatch.setattr(dispatcher, "DESCRIPTOR_WAIT_MS", 60_000.0)
 
     async def test() -> None:
         gate = Gate(serve_value)
-        async with held_by(gate) as rig:
-            clients = await short_of_descriptors(rig)
+        async with make_gated_rig(gate) as rig:
+            clients = await use_all_descriptors(rig)
             clients[1].send(path="/api/00aa", X_Budget="0.05")
             await until(rig.host.has_waiting_dials)
             assert await clients[1].receive() is not None
             assert not rig.host.has_waiting_dials()
             gate.open.set()
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
-def test_an_idle_client_gives_way_where_no_descriptor_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against dials that wait for good beside clients that ask for nothing."""
+def test_an_idle_client_is_closed_if_no_descriptor_becomes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against dials that wait forever while idle clients hold descriptors."""
     monkeypatch.setattr(dispatcher, "DESCRIPTOR_WAIT_MS", 0.0)
 
     async def test() -> None:
         gate = Gate(serve_value)
-        async with held_by(gate) as rig:
-            clients = await short_of_descriptors(rig)
+        async with make_gated_rig(gate) as rig:
+            clients = await use_all_descriptors(rig)
             clients[1].send(path="/api/00aa")
-            seen = await clients[1].receive()
-            assert seen is not None and seen.status == 200
+            response = await clients[1].receive()
+            assert response is not None and response.status == 200
             assert len(rig.host.frontend.clients) == 2
             gate.open.set()
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
 
 
-def test_a_new_client_takes_the_descriptor_of_an_idle_connection_to_a_node() -> None:
-    """Guards against requests lost as their idle connection was closed for another client's."""
+def test_a_new_client_gets_the_descriptor_of_an_idle_connection_to_a_node() -> None:
+    """Guards against lost requests because an idle client was closed for a new one."""
 
     async def test() -> None:
         async with Rig() as rig:
@@ -134,7 +134,7 @@
                 known.active_at -= MIN_IDLE_MS
             rig.host.descriptor_limit = rig.host.descriptors_used
             assert (await rig.ask(path="/health/ready")).status == 200
-            assert (await client.ask()).status == 200, "it is still there"
-            await all_over(rig)
+            assert (await client.ask()).status == 200, "the first client is still connected"
+            await assert_all_finished(rig)
 
     run(test())
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -1,5 +1,5 @@
-"""SIGHUP crosses requests in hand: a process that was given another deployment's settings has nothing left of
-its own, but for the requests that it had taken under them."""
+"""Reloading settings while requests are active: nothing of the old settings is left, except in requests that
+were accepted under them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from notchflow.net.config import Config
 from notchflow.net.host import Host
 from notchflow.net.node_list import decode_node_list
-from tests.crossings.forced import all_over
+from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
 from tests.rig import Rig, run, serve_value, until
 
@@ -46,32 +46,32 @@
 )
 
 
-def derived(host: Host) -> dict[str, Any]:
-    """All that a process works out of its settings, but for what it has learned."""
-    module, watch = host.balancer, host.discovery.list_watch
+def derived_state(host: Host) -> dict[str, Any]:
+    """All state that is derived from the settings, without what is learned at run time."""
+    policy, watch = host.balancer, host.discovery.list_watch
     return {
         "classes": host.classes,
         "longest": host.longest_deadline_ms,
         "attempts": host.max_attempts,
         "idle": host.idle_limit.configured_ms,
         "dial": {p.connect_timeout_ms for p in host.pools.values()},
-        "settings": (host.settings, module.settings, module.fleet.settings),
-        "of": module.classes,
-        "most": module.max_attempts,
-        "copies": module.second_copies,
-        "worth": module.worth_by_work,
-        "aside": module.fleet.cache_aside,
-        "many": module.fleet.many_instances,
-        "kinds": type(module.fleet.kinds),
+        "settings": (host.settings, policy.settings, policy.fleet.settings),
+        "of": policy.classes,
+        "most": policy.max_attempts,
+        "copies": policy.second_copies,
+        "worth": policy.worth_by_work,
+        "aside": policy.fleet.cache_aside,
+        "many": policy.fleet.many_instances,
+        "kinds": type(policy.fleet.kinds),
         "rules": watch.rules,
         "asked": watch.on_request,
         "pause": watch.pause_ms,
-        "cold": {n.cold_until for n in module.fleet.nodes.values()},
+        "cold": {n.cold_until for n in policy.fleet.nodes.values()},
     }
 
 
-def begun(settings: Settings) -> Host:
-    """A process with two nodes, one of them cold, that calls nobody."""
+def make_host(settings: Settings) -> Host:
+    """A host with two nodes, one of them cold, which makes no calls."""
     entries = [
         {"id": f"s-{n}", "host_port": "127.0.0.1:9", "phase": "up", "up_since_ms": 1e12 * n} for n in (0, 1)
     ]
@@ -91,14 +91,16 @@
     return host
 
 
-def test_a_process_given_another_deployment_s_settings_is_as_one_begun_with_them() -> None:
+def test_reloaded_settings_have_the_same_effect_as_settings_given_at_start() -> None:
     async def test() -> None:
         for first, second in ((ONE, OTHER), (OTHER, ONE)):
-            changed, fresh = begun(first), begun(second)
-            before = derived(changed)
-            assert [name for name, value in derived(fresh).items() if value == before[name]] == ["aside"]
+            changed, fresh = make_host(first), make_host(second)
+            before = derived_state(changed)
+            assert [name for name, value in derived_state(fresh).items() if value == before[name]] == [
+                "aside"
+            ]
             changed.reload(fresh.config)
-            assert derived(changed) == derived(fresh)
+            assert derived_state(changed) == derived_state(fresh)
             for host in (changed, fresh):
                 host.timers.clear()
                 if host.timer_handle is not None:
@@ -107,7 +109,7 @@
     run(test())
 
 
-def test_a_request_under_way_keeps_its_class_and_those_that_come_have_the_new_ones() -> None:
+def test_an_active_request_keeps_its_class_and_later_ones_use_the_new_classes() -> None:
     async def test() -> None:
         gate = Gate(serve_value)
         rig = Rig(gate)
@@ -119,17 +121,17 @@
             rig.host.reload(replace(rig.host.config, settings=OTHER))
             (pending,) = rig.host.balancer.pending.values()
             assert pending.cls.effect is Effect.UNSAFE and pending.max_attempts == 2
-            assert (await rig.ask(X_Call_Class="buy")).status == 503, "of no class that is known"
+            assert (await rig.ask(X_Call_Class="buy")).status == 503, "an unknown class now"
             assert rig.sent == 1
             gate.open.set()
-            seen = await client.receive()
-            assert seen is not None and seen.status == 200
+            response = await client.receive()
+            assert response is not None and response.status == 200
             assert (await rig.ask(X_Call_Class="find")).status == 200
             text = rig.host.metrics_text()
             assert 'class="find"' in text or 'priority="find"' in text
-            for _ in range(3):  # no timer of before asks for what is no more
+            for _ in range(3):  # no timer of the old settings has an effect
                 rig.host.dispatch(Timer("second"))
             assert not any(isinstance(a, SetTimer) for a in rig.host.balancer.actions)
-            await all_over(rig)
+            await assert_all_finished(rig)
 
     run(test())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,7 +11,7 @@
 import pytest
 
 from notchflow.interface import BodyArrived, BodyDiscarded, Outcome, Request, Send, Status, Timer
-from notchflow.net import client as downstream
+from notchflow.net import client as client_module
 from notchflow.net import connection
 from notchflow.net.client import STALL_TIMEOUT_MS
 from notchflow.net.exchange import ClientRequest
@@ -414,7 +414,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against reading 8 MiB at once while all other clients wait, 100 ms beside a body of 32 MB."""
-    reads: dict[type, list[bool]] = {downstream.ClientConnection: [], connection.Connection: []}
+    reads: dict[type, list[bool]] = {client_module.ClientConnection: [], connection.Connection: []}
     for kind, over_limit in reads.items():
         received = kind.data_received  # type: ignore[attr-defined]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -31,7 +31,7 @@
             assert call.line.startswith("GET /registry/instances?index=41&wait=")
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
             call, writer = await rig.calls.get()
-            assert "index=43" in call.line, "the next call is made at once"
+            assert "index=43" in call.line, "the next call leaves at once"
             assert memberships[-1].kind is ListKind.DELTA
             assert (await rig.ask()).status == 503 and rig.sent == 0, "a draining node gets no new requests"
             writer.write(rig.listing(44))
