--- a/notchflow/net/connection.py
+++ b/notchflow/net/connection.py
@@ -322,9 +322,9 @@
         exchange, self.exchange = self.exchange, None
         self.close()
         if exchange is not None:
-            silent = self.in_head and not self.head_size
+            no_response = self.in_head and not self.head_size
             self.pool.idle_limit.record_use(
-                self.idle_ms, silent and self.pool.host.clock.now() < self.begun_at + STALE_CONNECTION_MS
+                self.idle_ms, no_response and self.pool.host.clock.now() < self.begun_at + STALE_CONNECTION_MS
             )
             exchange.connection = None
             exchange.connection_failed(self.request_sent)
@@ -352,9 +352,9 @@
         """Parser: a header field."""
         if not self.in_head or self.complete:
             return  # trailers, or an unsolicited second response
-        low, response = name.lower(), self.response
-        if low in CONSUMED_HEADERS or low in HOP_BY_HOP:
-            response.headers[low] = value
+        lowered, response = name.lower(), self.response
+        if lowered in CONSUMED_HEADERS or lowered in HOP_BY_HOP:
+            response.headers[lowered] = value
         else:
             response.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
@@ -374,9 +374,9 @@
             response.length = int(response.headers[b"content-length"])
         elif b"transfer-encoding" not in response.headers:
             self.ends_at_eof = True
-        named = response.headers.get(b"connection")
-        if named is not None and response.forwarded_headers:
-            drop = tuple(t.strip().lower() + b":" for t in named.split(b","))
+        connection = response.headers.get(b"connection")
+        if connection is not None and response.forwarded_headers:
+            drop = tuple(t.strip().lower() + b":" for t in connection.split(b","))
             response.forwarded_headers = [
                 line for line in response.forwarded_headers if not line.lower().startswith(drop)
             ]
--- a/notchflow/net/dispatcher.py
+++ b/notchflow/net/dispatcher.py
@@ -225,9 +225,9 @@
                     self._fail_request(active)
             case Cancel(number, attempt):
                 active = self.active_requests.get(number)
-                out = active.outstanding_attempts.get(attempt) if active is not None else None
-                if out is not None and self.settings.limits.cancel and not out.streaming:
-                    out.abandon(Status.CANCELLED)
+                target = active.outstanding_attempts.get(attempt) if active is not None else None
+                if target is not None and self.settings.limits.cancel and not target.streaming:
+                    target.abandon(Status.CANCELLED)
             case SetTimer(at, token):
                 self.call_at(at, self._on_timer, token)
             case Watch(on):
@@ -400,7 +400,7 @@
         if active.streaming_attempt is not None:
             active.streaming_attempt.abandon(Status.CANCELLED)
         if active.client_request.streams_body and not active.client_request.body_complete:
-            self._abandon_attempts(active)  # cancel or not: the rest never comes
+            self._abandon_attempts(active)  # also without `cancel`: the body will never be complete
         self.dispatch(ClientGone(active.id))
 
     def stream_started(self, attempt: Attempt, response: UpstreamResponse) -> bool:
@@ -451,23 +451,23 @@
             active.streaming_attempt = None  # else a reference cycle is left to the garbage collector
         hit = load = None
         if response is not None:
-            ended, hit = response.begun_at, response.headers.get(b"x-hit")
+            ended_at, hit = response.begun_at, response.headers.get(b"x-hit")
             if b"x-load-report" in response.headers:
                 load = load_report(response, self.config.report_fields)
         else:
-            ended = self.clock.loop_time()
+            ended_at = self.clock.loop_time()
         if attempt.timeout_timer is not None:
             self.timers.cancel(attempt.timeout_timer)
         if active.done and not active.outstanding_attempts:
             self._remove_request(active)
-        took = ended - attempt.begun_at
+        latency_ms = ended_at - attempt.begun_at
         self.dispatch(
             Outcome(
                 active.id,
                 attempt.number,
                 attempt.node,
                 status,
-                took if took > 0.0 else 0.0,
+                latency_ms if latency_ms > 0.0 else 0.0,
                 active.done,
                 None if hit is None else hit == b"hit",
                 load,
@@ -477,8 +477,8 @@
     def _fail_request(self, active: ActiveRequest) -> None:
         if not active.done:
             self._finish_request(active)
-            late = active.last_status is Status.TIMEOUT or self.clock.now() >= active.deadline
-            active.client_request.client.fail(active.client_request, 504 if late else 502)
+            timed_out = active.last_status is Status.TIMEOUT or self.clock.now() >= active.deadline
+            active.client_request.client.fail(active.client_request, 504 if timed_out else 502)
 
     def _finish_request(self, active: ActiveRequest) -> None:
         active.done = True
--- a/notchflow/net/exchange.py
+++ b/notchflow/net/exchange.py
@@ -89,7 +89,7 @@
     def stream(self, data: bytes) -> None:
         """Writes a part of a streamed response."""
 
-    def end_stream(self, request: ClientRequest, whole: bool) -> None:
+    def end_stream(self, request: ClientRequest, complete: bool) -> None:
         """Ends a streamed response, complete or cut off."""
 
     def set_body_wanted(self, on: bool) -> None:
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -14,7 +14,7 @@
 from tests.rig import Rig, Seen, answer, run, serve_value, until
 
 
-class Silent:
+class ManualNode:
     """A node that leaves its answers to the test."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("cls", ["read", "once"])
 def test_a_response_and_the_clients_reset_in_one_loop_iteration(cls: str, answer_first: bool) -> None:
     async def test() -> None:
-        node = Silent()
+        node = ManualNode()
         async with make_rig(node) as rig:
             outcomes = rig.told(Outcome)
             client = await rig.connect()
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("cls", ["read", "once"])
 def test_a_response_unread_at_the_deadline_causes_at_most_one_answer(cls: str) -> None:
     async def test() -> None:
-        node = Silent()
+        node = ManualNode()
         async with make_rig(node) as rig:
             client = await rig.connect()
             client.send("PUT", body=b"x", X_Call_Class=cls, X_Budget="0.5")
@@ -117,13 +117,13 @@
     """Also if the settings forbid cancelling: a finished request starts nothing."""
     gate = asyncio.Event()
 
-    async def held(request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def gated(request: Seen, writer: asyncio.StreamWriter) -> None:
         if "held" in request.line:
             await gate.wait()
         await serve_value(request, writer)
 
     async def test() -> None:
-        async with make_rig(held, held, cancel=False) as rig:
+        async with make_rig(gated, gated, cancel=False) as rig:
             rig.host.balancer.fleet.class_latency_ms["read"] = 50.0  # a hedge is due after 150 ms
             client, other = await rig.connect(), await rig.connect()
             dials = HeldDials(rig, free=2)
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -177,12 +177,12 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def held(request: Seen, writer: asyncio.StreamWriter) -> None:
+        async def gated(request: Seen, writer: asyncio.StreamWriter) -> None:
             if "held" in request.line:
                 await gate.wait()
             await serve_value(request, writer)
 
-        async with make_rig(held, held, cancel=False) as rig:
+        async with make_rig(gated, gated, cancel=False) as rig:
             rig.host.balancer.fleet.class_latency_ms["read"] = 50.0  # a hedge is due after 150 ms
             client, other = await rig.connect(), await rig.connect()
             client.send(path="/api/00aa?held")
--- a/tests/crossings/test_close.py
+++ b/tests/crossings/test_close.py
@@ -139,9 +139,9 @@
             raw = Raw(rig)
             raw.send(LAST)
             await until(lambda: rig.sent)
-            (kept,) = rig.host.frontend.clients
-            assert kept.transport is not None
-            kept.transport.pause_reading()  # further data stays unread while the response is written
+            (client_connection,) = rig.host.frontend.clients
+            assert client_connection.transport is not None
+            client_connection.transport.pause_reading()  # further data stays unread
             raw.send(100 * ASK)
             gate.set()
             data = await raw.read(until_end=True)
@@ -189,12 +189,12 @@
             raw = Raw(rig)
             raw.send(LAST)
             await until(lambda: any(c.closed_at < float("inf") for c in rig.host.frontend.clients))
-            (kept,) = rig.host.frontend.clients
-            kept.active_at = 0.0
+            (client_connection,) = rig.host.frontend.clients
+            client_connection.active_at = 0.0
             raw.send(1_000 * ASK)
-            await until(lambda: kept.active_at)
+            await until(lambda: client_connection.active_at)
             monkeypatch.setattr(client_module, "LINGER_MS", -1.0)
-            kept.close_if_timed_out(rig.host.clock.now())
+            client_connection.close_if_timed_out(rig.host.clock.now())
             await until(lambda: not rig.host.frontend.clients)
             await assert_all_finished(rig)
             assert rig.sent == 1
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -30,16 +30,16 @@
         super().__init__()
         self.raw = script
         self.got = hashlib.sha256()
-        self.size = self.begun = self.ended = 0
+        self.size = self.started = self.finished = 0
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open.add(writer)
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
-                self.begun += 1
+                self.started += 1
                 await self.raw(self, head, reader, writer)
-                self.ended += 1
+                self.finished += 1
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -166,12 +166,12 @@
             sending = asyncio.create_task(send_body(client, body))
             clients = rig.host.frontend.clients
             await until(
-                lambda: any(c.body_paused_at is not None for c in clients) and rig.body_nodes[0].begun
+                lambda: any(c.body_paused_at is not None for c in clients) and rig.body_nodes[0].started
             )
-            (kept,) = clients
+            (client_connection,) = clients
             assert rig.host.buffered_bytes < rig.host.buffer_limit + MB and rig.call.body_size < len(body)
-            kept.close_if_timed_out(rig.host.clock.now() + 5_000)
-            assert not kept.closing, "the client is not the slow side"
+            client_connection.close_if_timed_out(rig.host.clock.now() + 5_000)
+            assert not client_connection.closing, "the client is not the slow side"
             release.set()
             await sending
             response = await client.receive()
@@ -196,13 +196,13 @@
             clients = rig.host.frontend.clients
             await until(
                 lambda: any(c.body_paused_at is not None for c in clients)
-                and any(node.begun for node in rig.body_nodes)
+                and any(node.started for node in rig.body_nodes)
             )
-            first = next(node for node in rig.body_nodes if node.begun)
+            first = next(node for node in rig.body_nodes if node.started)
             for node in rig.body_nodes:
                 node.raw = reads_all
-            (kept,) = clients
-            kept.close_if_timed_out(rig.host.clock.now() + STALL_TIMEOUT_MS + 1)
+            (client_connection,) = clients
+            client_connection.close_if_timed_out(rig.host.clock.now() + STALL_TIMEOUT_MS + 1)
             await sending
             response = await client.receive()
             assert response is not None and response.status == 200
@@ -263,7 +263,7 @@
             client.writer.write(body[12 * MB : 13 * MB])
             response = await client.receive()
             assert response is not None and response.status == 503
-            assert sum(node.begun for node in rig.body_nodes) == 1 and rig.host.buffered_bytes == 0
+            assert sum(node.started for node in rig.body_nodes) == 1 and rig.host.buffered_bytes == 0
             assert not rig.host.active_requests and not rig.host.balancer.pending
 
     run(test())
@@ -280,13 +280,13 @@
             client.send(**PUT, content_length=str(len(body)))
             await send_body(client, body[: 2 * MB])
             await until(lambda: rig.size)
-            (first,) = [n for n, node in enumerate(rig.body_nodes) if node.begun]
+            (first,) = [n for n, node in enumerate(rig.body_nodes) if node.started]
             watch.write(rig.listing(42, False, [rig.entry(first, phase="draining")]))
-            await until(lambda: rig.body_nodes[1 - first].begun)
+            await until(lambda: rig.body_nodes[1 - first].started)
             await send_body(client, body[2 * MB :])
             response = await client.receive()
             assert response is not None and response.status == 200
-            assert rig.body_nodes[first].ended == 0 or rig.body_nodes[first].size < len(body)
+            assert rig.body_nodes[first].finished == 0 or rig.body_nodes[first].size < len(body)
             assert rig.body_nodes[1 - first].got.digest() == hashlib.sha256(body).digest()
 
     run(test())
@@ -305,7 +305,7 @@
                 client.writer.write(b"%x\r\n" % (4 * MB))
             await send_body(client, body_of(MB))
             await until(lambda: rig.size == MB)
-            (kept,) = rig.host.frontend.clients
+            (client_connection,) = rig.host.frontend.clients
             if way == "reset":
                 client.reset()
             elif way == "end":
@@ -313,7 +313,7 @@
             elif way == "chunk":
                 client.writer.write(body_of(3 * MB) + b"nonsense")
             else:
-                kept.close_if_timed_out(rig.host.clock.now() + 60_000)
+                client_connection.close_if_timed_out(rig.host.clock.now() + 60_000)
             if way in ("chunk", "silence"):
                 response = await client.receive()
                 assert response is not None and response.status == {"chunk": 400, "silence": 408}[way]
@@ -322,7 +322,7 @@
             assert (
                 rig.host.buffered_bytes == 0
                 and not rig.host.balancer.pending
-                and rig.body_nodes[0].ended == 0
+                and rig.body_nodes[0].finished == 0
             )
             assert rig.host.metrics.open == 0
 
@@ -401,11 +401,11 @@
             client.send(**PUT, content_length=str(MB))
             await send_body(client, body_of(MB // 2))
             await until(lambda: rig.size == MB // 2)
-            (kept,) = rig.host.frontend.clients
+            (client_connection,) = rig.host.frontend.clients
             for count in range(1, 9):
                 client.writer.write(bytes(1_000))
                 await until(lambda count=count: rig.size == MB // 2 + count * 1_000)  # type: ignore[misc]
-                assert not kept.unsent_pieces
+                assert not client_connection.unsent_pieces
 
     run(test())
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -328,10 +328,10 @@
                 writer.write(rig.listing(41, False, []))
                 await until(lambda: memberships)
                 memberships.clear()
-            call, silent = await rig.calls.get()
+            call, unanswered = await rig.calls.get()
             assert f"wait={60_000 if on_request else 20} " in call.line
             call, writer = await rig.calls.get()
-            assert "index=41" in call.line and not silent.transport.is_closing()
+            assert "index=41" in call.line and not unanswered.transport.is_closing()
             assert not memberships, "no failure is reported, as none is certain"
             writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
             await until(lambda: memberships)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -44,7 +44,7 @@
             (connection,) = pool.idle
             assert 0 <= rig.host.clock.now() - connection.idle_since < pool.idle_limit.limit_ms
             pool.close_expired(connection.idle_since + pool.idle_limit.limit_ms - 1)
-            assert pool.idle, "younger than the limit: kept"
+            assert pool.idle, "idle for less than the limit"
             pool.close_expired(connection.idle_since + pool.idle_limit.limit_ms)
             await until(lambda: not rig.nodes[0].open)
             assert (
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -145,13 +145,13 @@
     announced."""
     watch = open_watch(False)
     began = watch.pending_calls[0].begun_at
-    silent = PUSH_WAIT_MS + PUSH_MARGIN_MS
-    assert run_until(watch, began + 3.5 * silent) == [
-        (began + silent, StartCall(3, 41, PUSH_WAIT_MS)),
-        (began + 2 * silent, CancelCall(3)),
-        (began + 2 * silent, StartCall(4, 41, PUSH_WAIT_MS)),
-        (began + 3 * silent, CancelCall(4)),
-        (began + 3 * silent, StartCall(5, 41, PUSH_WAIT_MS)),
+    timeout_ms = PUSH_WAIT_MS + PUSH_MARGIN_MS
+    assert run_until(watch, began + 3.5 * timeout_ms) == [
+        (began + timeout_ms, StartCall(3, 41, PUSH_WAIT_MS)),
+        (began + 2 * timeout_ms, CancelCall(3)),
+        (began + 2 * timeout_ms, StartCall(4, 41, PUSH_WAIT_MS)),
+        (began + 3 * timeout_ms, CancelCall(4)),
+        (began + 3 * timeout_ms, StartCall(5, 41, PUSH_WAIT_MS)),
     ]
     update = changes(42)
     assert watch.answered(9_000.0, 2, update, False) == [
