--- a/notchflow/net/dispatcher.py
+++ b/notchflow/net/dispatcher.py
@@ -1,6 +1,6 @@
 """The request dispatcher: reports events to the policy and carries out the actions that it returns.
 
-It guarantees that each request gets exactly one final response, and enforces deadlines whatever the policy
+It guarantees that each request gets exactly one final answer, and enforces deadlines whatever the policy
 does.
 """
 
@@ -115,7 +115,7 @@
     def _run_timers(self, due: float, again: bool = False) -> None:
         now = self.clock.now()
         if not again and now > due + LATE_TIMER_MS:
-            # The loop was busy: responses may be waiting in the kernel, so the nodes are not to blame.
+            # The loop was busy: responses may be waiting in the kernel, which is not the nodes' fault.
             self.timer_handle = self.loop.call_later(0.001, self._run_timers, due, True)
             return
         for callback, argument in self.timers.pop_due(now):
@@ -423,7 +423,7 @@
             connection.set_paused(paused)
 
     def attempt_ended(self, attempt: Attempt, status: Status, response: UpstreamResponse | None) -> None:
-        """Handles the end of an attempt. The first 200, or the end of a stream, is the final response."""
+        """Handles the end of an attempt. The first 200, or the end of a stream, is the final answer."""
         active = attempt.request
         active.outstanding_attempts.pop(attempt.number, None)
         if self.waiting_dials:  # it no longer needs a descriptor
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -46,7 +46,7 @@
             self.open.discard(writer)
             writer.close()
 
-    def take(self, data: bytes) -> None:
+    def add(self, data: bytes) -> None:
         """Counts and hashes a part of the body."""
         self.got.update(data)
         self.size += len(data)
@@ -59,7 +59,7 @@
     if "transfer-encoding: chunked" in head:
         assert "content-length" not in head
         while size := int(await reader.readuntil(b"\r\n"), 16):
-            node.take(await reader.readexactly(size))
+            node.add(await reader.readexactly(size))
             await reader.readexactly(2)
         await reader.readexactly(2)
     else:
@@ -69,7 +69,7 @@
             if not data:
                 raise ConnectionError("cut off")
             left -= len(data)
-            node.take(data)
+            node.add(data)
     writer.write(answer(b"taken"))
 
 
@@ -95,10 +95,10 @@
         return sum(node.size for node in self.body_nodes)
 
     @property
-    def call(self) -> ClientRequest:
+    def arriving_request(self) -> ClientRequest:
         """The one request that is being received."""
-        (call,) = [c.arriving for c in self.host.frontend.clients if c.arriving is not None]
-        return call
+        (request,) = [c.arriving for c in self.host.frontend.clients if c.arriving is not None]
+        return request
 
 
 def body_of(size: int) -> bytes:
@@ -169,7 +169,10 @@
                 lambda: any(c.body_paused_at is not None for c in clients) and rig.body_nodes[0].started
             )
             (client_connection,) = clients
-            assert rig.host.buffered_bytes < rig.host.buffer_limit + MB and rig.call.body_size < len(body)
+            assert (
+                rig.host.buffered_bytes < rig.host.buffer_limit + MB
+                and rig.arriving_request.body_size < len(body)
+            )
             client_connection.close_if_timed_out(rig.host.clock.now() + 5_000)
             assert not client_connection.closing, "the client is not the slow side"
             release.set()
@@ -248,7 +251,7 @@
             node: BodyNode, _: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             while not gone.is_set():
-                node.take(await reader.read(MB))
+                node.add(await reader.read(MB))
             writer.transport.abort()
 
         async with BodyRig(breaks, breaks, memory_mb=64) as rig:
@@ -258,7 +261,7 @@
             client.send(**PUT, content_length=str(len(body)))
             await send_body(client, body[: 12 * MB])
             await until(lambda: discards)
-            assert rig.call.body_start_dropped
+            assert rig.arriving_request.body_start_dropped
             gone.set()
             client.writer.write(body[12 * MB : 13 * MB])
             response = await client.receive()
@@ -365,7 +368,10 @@
             await send_body(client, body_of(MB // 2))
             await until(lambda: rig.size == MB // 2)
             await asyncio.sleep(0.5)
-            assert rig.call.active is not None and rig.call.active.deadline > rig.host.clock.now() + 5_000
+            assert (
+                rig.arriving_request.active is not None
+                and rig.arriving_request.active.deadline > rig.host.clock.now() + 5_000
+            )
             await send_body(client, body_of(MB // 2))
             response = await client.receive()
             assert response is not None and response.status == 200, "0.3 s from the last byte on"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -309,11 +309,11 @@
 
 
 @pytest.mark.parametrize("on_request", [True, False])
-def test_a_dead_watch_is_replaced_and_cancelled_only_after_that(
+def test_an_unresponsive_watch_is_replaced_and_cancelled_only_after_that(
     monkeypatch: pytest.MonkeyPatch, on_request: bool
 ) -> None:
-    """Guards against keeping a dead watch until its wait is over, when all proxies call at once and too
-    late."""
+    """Guards against keeping an unresponsive watch until its wait is over, when all proxies call at once and
+    too late."""
     monkeypatch.setattr(watch, "RENEWAL_RANGE_MS", (20.0, 60.0))
     monkeypatch.setattr(watch, "PUSH_WAIT_MS", 20)
     monkeypatch.setattr(watch, "PUSH_MARGIN_MS", 20.0)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -103,7 +103,7 @@
 
 def test_an_unanswered_renewal_is_repeated_at_once() -> None:
     """Guards against a failure after which every change counts as announced 6 s later, beside a watch that is
-    dead as well."""
+    unresponsive as well."""
     watch = open_watch(True)
     now = watch.wake_at
     watch.wake(now)
