--- a/notchflow/logs.py
+++ b/notchflow/logs.py
@@ -1,36 +1,38 @@
-"""The program's log on standard error."""
+"""Logging to standard error."""
 
 from __future__ import annotations
 
 import logging
 import time
 
-LOG_EVERY_S = 10.0  # a message comes at most this often: what goes wrong goes wrong a thousand times a second
+# minimum time between two records of one message: a failure may repeat a thousand times a second
+MIN_REPEAT_INTERVAL_S = 10.0
 
 
-class Sparse(logging.Filter):
-    """Lets each message through now and then, with the number of those held back."""
+class RateLimitFilter(logging.Filter):
+    """Limits the rate of each message; the next one that passes states how many were suppressed."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.seen: dict[str, tuple[float, int]] = {}  # as many entries as the code has messages
+        # by message template, so bounded by the number of messages in the code
+        self.last_logged: dict[str, tuple[float, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        at, held = self.seen.get(record.msg, (-LOG_EVERY_S, 0))
+        logged_at, suppressed = self.last_logged.get(record.msg, (-MIN_REPEAT_INTERVAL_S, 0))
         now = time.monotonic()
-        if now < at + LOG_EVERY_S:
-            self.seen[record.msg] = at, held + 1
+        if now < logged_at + MIN_REPEAT_INTERVAL_S:
+            self.last_logged[record.msg] = logged_at, suppressed + 1
             return False
-        self.seen[record.msg] = now, 0
-        if held:
-            record.msg = f"{record.msg} ({held} more before)"
+        self.last_logged[record.msg] = now, 0
+        if suppressed:
+            record.msg = f"{record.msg} ({suppressed} more before)"
         return True
 
 
 def configure_logging() -> None:
-    """Logs to standard error from now on."""
+    """Starts logging to standard error."""
     handler = logging.StreamHandler()
-    handler.addFilter(Sparse())
+    handler.addFilter(RateLimitFilter())
     logging.basicConfig(
         level=logging.INFO, handlers=[handler], format="%(asctime)s %(levelname)s %(message)s"
     )
--- a/notchflow/net/__init__.py
+++ b/notchflow/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy: sockets, framing and budgets around the decisions of notchflow.policy."""
+"""The I/O of the proxy: sockets, HTTP framing, timers and limits around the decisions of notchflow.policy."""
--- a/notchflow/net/client.py
+++ b/notchflow/net/client.py
@@ -1,4 +1,5 @@
-"""A client's connection: its requests taken up one after the other, each answered, backpressure both ways."""
+"""A client connection: requests are handled one after the other, each is answered, with backpressure both
+ways."""
 
 from __future__ import annotations
 
@@ -12,92 +13,104 @@
 from httptools import HttpRequestParser
 
 from notchflow.net.exchange import CLIENT_CLOSED, REASON_PHRASES, ClientRequest, LocalReply, UpstreamResponse
-from notchflow.net.request_head import PLAIN, info_size, number_of, readable
-from notchflow.net.request_reader import ARRIVE_MS, BODY_MAX, BODY_RATE, Entrance, RequestReader
+from notchflow.net.request_head import (
+    PLAIN_TARGET,
+    is_unambiguous_target,
+    parse_info_size,
+    parse_number_header,
+)
+from notchflow.net.request_reader import (
+    HEAD_TIMEOUT_MS,
+    MAX_BODY_BYTES,
+    MIN_BODY_BYTES_PER_MS,
+    ConnectionOwner,
+    RequestReader,
+)
 
 log = logging.getLogger(__name__)
 
-BUDGET_MAX_MS = 60_000.0
+MAX_BUDGET_MS = 60_000.0
 IDLE_TIMEOUT_MS = 75_000.0
 STALL_TIMEOUT_MS = 10_000.0
-LINGER_MS = 2_000.0  # of a lingering close, whatever comes meanwhile
-# A client that sends no more may have gone for good: both look the same. For so long after its last byte came
-# what it asked for may still begin, as a half-closed client may send its end along with its request; an
-# attempt over 100 ms after the end is a fault.
+LINGER_MS = 2_000.0  # for a lingering close, whatever arrives meanwhile
+# A client that has half-closed the connection may have left for good: both look the same. For this long after
+# its last byte its request may still begin, as a half-closed client may send the end of its stream along with
+# the request. An attempt that begins over 100 ms after the client's end is a fault.
 HALF_CLOSED_GRACE_MS = 50.0
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-PREFIX = b"/api/"
-NO_HOST = b"Host: service.internal\r\n"
-READY = b"/health/ready"
+CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+API_PREFIX = b"/api/"
+DEFAULT_HOST_HEADER = b"Host: service.internal\r\n"
+READINESS_PATH = b"/health/ready"
 
 
 class ClientConnection(RequestReader):
-    """A client's connection."""
+    """A connection from a client."""
 
-    __slots__ = ("stepping", "paused", "chunked", "charged", "known", "half_closed", "closed_at")
+    __slots__ = ("starting", "paused", "chunked", "charged_output", "handed_over", "half_closed", "closed_at")
 
-    def __init__(self, frontend: Entrance, known: bool = False) -> None:
+    def __init__(self, frontend: ConnectionOwner, handed_over: bool = False) -> None:
         super().__init__(frontend)
-        self.known = known  # another process served it before: it may be idle as long as any
-        self.stepping = False
+        self.handed_over = handed_over  # by another process, so it may be idle for as long as any other
+        self.starting = False
         self.paused = False
         self.chunked = False
-        self.charged = 0
-        self.half_closed = False  # the client's end has been read
+        self.charged_output = 0
+        self.half_closed = False  # the client's end of file has been read
         self.closed_at = math.inf  # when a lingering close began
 
-    def _call(self) -> ClientRequest:
+    def _new_request(self) -> ClientRequest:
         return ClientRequest(self, self.host)
 
-    # -- the transport's callbacks
+    # -- transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """asyncio: the connection is open."""
         self.transport = cast(asyncio.Transport, transport)
         self.parser = HttpRequestParser(self)
         self.active_at = self.host.clock.loop_time()
-        self.due_since = None if self.known else self.active_at
+        self.request_due_since = None if self.handed_over else self.active_at
         self.frontend.clients[self] = None
         self.frontend.idle[self] = None
 
     def eof_received(self) -> bool:
-        """asyncio: the client sends no more; whether the connection stays open for answers."""
+        """asyncio: the client sends no more. Returns whether the connection stays open for responses."""
         self.half_closed = True
         if self.closed_at < math.inf:
-            return False  # both sides are done
-        if self.current is self.arriving and not self.waiting:
-            return False  # nothing is in hand, or its body ends in the midst
+            return False  # both sides have ended
+        if self.current is self.arriving and not self.queued:
+            return False  # no request is in progress, or its body ends early
         self.closing = True
         return True
 
     def has_left(self, now: float) -> bool:
-        """Whether it has left, or sends no more and may have left over HALF_CLOSED_GRACE_MS ago."""
+        """Returns whether the client has closed the connection, or has half-closed it over
+        HALF_CLOSED_GRACE_MS ago and may have left."""
         if self.transport is None:
             return True
         if self.half_closed:
             return self.current is None or now > self.current.earliest_arrival_at + HALF_CLOSED_GRACE_MS
-        return self.lags and bool(self._poll(GONE))
+        return self.was_paused and bool(self._poll(CLOSED_EVENTS))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection has ended, and with it every request on it."""
+        """asyncio: the connection has closed, which ends every request on it."""
         self.transport = self.parser = None
         self.closing = True
-        self.host.buffered_bytes -= self.charged
-        self.charged = 0
-        calls = [c for c in (self.current, self.arriving, *self.waiting) if c is not None]
+        self.host.buffered_bytes -= self.charged_output
+        self.charged_output = 0
+        requests = [c for c in (self.current, self.arriving, *self.queued) if c is not None]
         self.current = self.arriving = None
-        self.waiting.clear()
-        for call in calls:
-            item = call.active
-            call.finish(CLIENT_CLOSED)
-            if item is not None:
-                self.host.client_gone(item)
-        self.frontend.lost(self)
+        self.queued.clear()
+        for request in requests:
+            active = request.active
+            request.finish(CLIENT_CLOSED)
+            if active is not None:
+                self.host.client_gone(active)
+        self.frontend.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """asyncio: the client reads more slowly than its answer comes."""
+        """asyncio: the client reads more slowly than the response arrives."""
         self.paused = True
         if self.transport is not None:
-            self._charge(self.transport.get_write_buffer_size())
+            self._charge_output(self.transport.get_write_buffer_size())
         if self.current is not None and self.current.active is not None:
             self.host.set_response_paused(self.current.active, True)
 
@@ -105,26 +118,29 @@
         """asyncio: the client has caught up."""
         self.paused = False
         self.active_at = self.host.clock.loop_time()
-        self._charge(0)
+        self._charge_output(0)
         if self.current is not None and self.current.active is not None:
             self.host.set_response_paused(self.current.active, False)
-        self._step()
+        self._start_next()
 
-    def _charge(self, size: int) -> None:
-        self.host.buffered_bytes += size - self.charged
-        self.charged = size
+    def _charge_output(self, size: int) -> None:
+        self.host.buffered_bytes += size - self.charged_output
+        self.charged_output = size
 
     def close(self) -> None:
-        """A lingering close (RFC 9112 section 9.6). A plain close over bytes that were not read resets the
-        connection, and an answer that is still on its way is lost with it. So only the sending side is shut;
-        what comes is read and dropped until the client's end comes too, for a while at most."""
+        """Performs a lingering close (RFC 9112 section 9.6).
+
+        Closing a socket with unread input sends a reset, which destroys a response in transit. So only the
+        sending side is shut down, and input is read and dropped until the client closes its side too, or a
+        time limit ends the wait.
+        """
         self.closing = True
         self.frontend.idle.pop(self, None)
         transport = self.transport
         if transport is None or transport.is_closing() or self.closed_at < math.inf:
             return
         if self.half_closed:
-            transport.close()  # all that it sent is read
+            transport.close()  # all its input has been read
             return
         self.closed_at = self.host.clock.now()
         self.frontend.lingering[self] = None
@@ -132,15 +148,16 @@
         if not transport.is_reading():
             transport.resume_reading()
 
-    def _drop_waiting(self) -> None:
-        """What was sent ahead of a close is not taken up."""
-        for call in self.waiting:
-            call.finish(CLIENT_CLOSED)
-        self.waiting.clear()
+    def _drop_queued(self) -> None:
+        """Drops the requests that were pipelined before a close."""
+        for request in self.queued:
+            request.finish(CLIENT_CLOSED)
+        self.queued.clear()
 
-    # -- one request after the other
-    def silent(self) -> bool:
-        """Whether nothing has come that was not read yet: what is closed then is lost to its client."""
+    # -- requests and responses
+    def has_no_unread_input(self) -> bool:
+        """Returns whether the kernel holds no unread input. A close over unread input would lose a
+        request."""
         return not self._poll(select.POLLIN)
 
     def _poll(self, events: int) -> list[tuple[int, int]]:
@@ -149,16 +166,16 @@
         poll.register(self.transport.get_extra_info("socket").fileno(), events)
         return poll.poll(0)
 
-    def pass_on(self) -> int | None:
-        """Gives up the connection for another process to go on with, between two requests: had some of the
-        next been read, it would be lost. The connection's descriptor, or none if it must stay."""
+    def hand_over(self) -> int | None:
+        """Releases the connection to another process, between two requests: input that has been read would be
+        lost. Returns its descriptor, or None if it must stay."""
         transport = self.transport
         if (
             transport is None
             or transport.is_closing()
             or self.closing
             or self.half_closed
-            or self.waiting
+            or self.queued
             or self.current is not None
             or self.arriving is not None
             or transport.get_write_buffer_size()
@@ -167,41 +184,42 @@
         transport.pause_reading()
         descriptor = os.dup(transport.get_extra_info("socket").fileno())
         self.closing = True
-        transport.abort()  # closes this process's descriptor alone: the connection lives on in the other
+        # closes only this process's descriptor: the connection stays open in the other process
+        transport.abort()
         return descriptor
 
-    def _step(self) -> None:
-        if self.stepping:
+    def _start_next(self) -> None:
+        if self.starting:
             return
-        self.stepping = True
-        while self.waiting and self.current is None and not self.paused and self.transport is not None:
-            call = self.current = self.waiting.popleft()
+        self.starting = True
+        while self.queued and self.current is None and not self.paused and self.transport is not None:
+            request = self.current = self.queued.popleft()
             try:
-                self._begin(call)
+                self._handle(request)
             except Exception:
                 log.exception("a request failed")
-                self.fail(call, 502)
-            if self.pipeline_full and not self.waiting:
+                self.fail(request, 502)
+            if self.pipeline_full and not self.queued:
                 self.pipeline_full = False
-                self._read_on(True)
-        self.stepping = False
+                self._set_reading(True)
+        self.starting = False
 
-    def _begin(self, call: ClientRequest) -> None:
-        if call.local_reply is not None:
-            self._reply(call, call.local_reply)
+    def _handle(self, request: ClientRequest) -> None:
+        if request.local_reply is not None:
+            self._send_local_reply(request, request.local_reply)
             return
-        if call.error_status:
-            self.fail(call, call.error_status)
+        if request.error_status:
+            self.fail(request, request.error_status)
             return
-        if self.frontend.door is None and call.method == b"GET" and not call.body_not_held:
-            plain = PLAIN.fullmatch(call.url)
+        if self.frontend.door is None and request.method == b"GET" and not request.body_not_held:
+            plain = PLAIN_TARGET.fullmatch(request.url)
             if plain is not None:
-                self._request(call, plain[1].decode("ascii"))
+                self._start_request(request, plain[1].decode("ascii"))
                 return
-        path = call.url.partition(b"?")[0]
-        if path == READY:
-            self._write(
-                call,
+        path = request.url.partition(b"?")[0]
+        if path == READINESS_PATH:
+            self._write_response(
+                request,
                 503 if self.host.lifecycle.draining or not self.host.list_is_current() else 200,
                 [],
                 [],
@@ -209,98 +227,102 @@
             )
             return
         if self.frontend.door is not None:
-            reply = self.frontend.door.begin(call)
+            reply = self.frontend.door.begin(request)
             if reply is not None:
-                self._reply(call, reply)
+                self._send_local_reply(request, reply)
             return
-        if not readable(call.url):
-            self.fail(call, 400)
+        if not is_unambiguous_target(request.url):
+            self.fail(request, 400)
             return
         key = path.rpartition(b"/")[2]
-        if not path.startswith(PREFIX) or not key:
-            self.fail(call, 404)
-        elif call.method not in (b"GET", b"PUT"):
-            self.fail(call, 405)
-        elif call.body_not_held:
-            log.warning("memory is short: a request is refused")
-            call.class_counts = self.host.metrics.begin_request(
-                call.headers.get(b"x-call-class", b"").decode("latin-1")
+        if not path.startswith(API_PREFIX) or not key:
+            self.fail(request, 404)
+        elif request.method not in (b"GET", b"PUT"):
+            self.fail(request, 405)
+        elif request.body_not_held:
+            log.warning("buffer limit reached: request rejected")
+            request.class_counts = self.host.metrics.begin_request(
+                request.headers.get(b"x-call-class", b"").decode("latin-1")
             )
-            self.refuse(call, 0.0)
+            self.refuse(request, 0.0)
         else:
-            self._request(call, key.decode("latin-1"))
+            self._start_request(request, key.decode("latin-1"))
 
-    def _request(self, call: ClientRequest, key: str) -> None:
-        fields = call.headers
+    def _start_request(self, request: ClientRequest, key: str) -> None:
+        headers = request.headers
         try:
-            if not fields.get(b"x-call-id"):
+            if not headers.get(b"x-call-id"):
                 raise ValueError("no X-Call-Id")
-            budget = number_of(fields, b"x-budget", 1e3) if b"x-budget" in fields else None
-            hint = number_of(fields, b"x-call-cost", 1e-3) if b"x-call-cost" in fields else None
+            budget = parse_number_header(headers, b"x-budget", 1e3) if b"x-budget" in headers else None
+            hint = parse_number_header(headers, b"x-call-cost", 1e-3) if b"x-call-cost" in headers else None
         except ValueError:
-            self.fail(call, 400)
+            self.fail(request, 400)
             return
-        if b"host" not in fields:  # allowed to the platform's clients, not to us (RFC 9112 section 3.2)
-            call.forwarded_headers.append(NO_HOST)
-        if call.streams_body:
-            self._framed_anew(call)
-        info, tenant = fields.get(b"x-call-info"), fields.get(b"x-caller")
+        # the platform's clients may omit Host, but the proxy may not (RFC 9112 section 3.2)
+        if b"host" not in headers:
+            request.forwarded_headers.append(DEFAULT_HOST_HEADER)
+        if request.streams_body:
+            self._frame_streamed_body(request)
+        info, tenant = headers.get(b"x-call-info"), headers.get(b"x-caller")
         self.host.start_request(
-            call,
-            fields.get(b"x-call-class", b"").decode("latin-1"),
-            budget if budget is None or budget < BUDGET_MAX_MS else BUDGET_MAX_MS,
+            request,
+            headers.get(b"x-call-class", b"").decode("latin-1"),
+            budget if budget is None or budget < MAX_BUDGET_MS else MAX_BUDGET_MS,
             key,
             tenant.decode("latin-1") if tenant else None,
             hint,
-            info_size(info) if info else None,
-            fields.get(b"x-again") == b"1",
-            call.method == b"PUT",
+            parse_info_size(info) if info else None,
+            headers.get(b"x-again") == b"1",
+            request.method == b"PUT",
         )
 
-    def _framed_anew(self, call: ClientRequest) -> None:
-        """How a body that flows goes on; its time begins with its last byte, by when that must be there."""
-        length = b"%d" % call.body_size if call.body_complete else call.headers.get(b"content-length")
-        call.chunked = length is None
-        call.forwarded_headers.append(
+    def _frame_streamed_body(self, request: ClientRequest) -> None:
+        """Frames a streamed body for the node. The request's deadline counts from the last byte of the body,
+        which must arrive within the time allowed for its size."""
+        length = (
+            b"%d" % request.body_size if request.body_complete else request.headers.get(b"content-length")
+        )
+        request.chunked = length is None
+        request.forwarded_headers.append(
             b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %b\r\n" % length
         )
-        if not call.body_complete:
-            left = (BODY_MAX if length is None else int(length)) - call.body_size
-            call.arrived_at = self.host.clock.now() + ARRIVE_MS + left / BODY_RATE
+        if not request.body_complete:
+            remaining = (MAX_BODY_BYTES if length is None else int(length)) - request.body_size
+            request.arrived_at = self.host.clock.now() + HEAD_TIMEOUT_MS + remaining / MIN_BODY_BYTES_PER_MS
 
-    def serve(self, call: ClientRequest, answer: UpstreamResponse) -> None:
-        """Answers with what a node answered."""
-        self._write(call, 200, answer.forwarded_headers, answer.body, answer.body_size)
+    def serve(self, request: ClientRequest, response: UpstreamResponse) -> None:
+        """Answers with the response of a node."""
+        self._write_response(request, 200, response.forwarded_headers, response.body, response.body_size)
 
-    def refuse(self, call: ClientRequest, retry_after_ms: float) -> None:
-        """Answers 503: nothing ran. `retry_after_ms`: when to come back, if positive."""
+    def refuse(self, request: ClientRequest, retry_after_ms: float) -> None:
+        """Answers 503: nothing ran. `retry_after_ms`: when to retry, if positive."""
         if self.frontend.door is not None:
-            self._reply(call, self.frontend.door.refused(retry_after_ms))
+            self._send_local_reply(request, self.frontend.door.refused(retry_after_ms))
             return
         extra = [b"Retry-After: %.3f\r\n" % (retry_after_ms / 1e3)] if retry_after_ms > 0 else []
-        self._write(call, 503, extra, [], 0)
+        self._write_response(request, 503, extra, [], 0)
 
-    def fail(self, call: ClientRequest, status: int) -> None:
-        """Failed, with no promise."""
+    def fail(self, request: ClientRequest, status: int) -> None:
+        """Answers that the request failed, which leaves open whether it ran."""
         if self.frontend.door is not None:
-            self._reply(call, self.frontend.door.failed(status))
+            self._send_local_reply(request, self.frontend.door.failed(status))
         else:
-            self._write(call, status, [], [], 0)
+            self._write_response(request, status, [], [], 0)
 
-    def answer(self, call: ClientRequest, reply: LocalReply) -> None:
-        """An answer of the door's, that it needed time for."""
-        self._reply(call, reply)
+    def answer(self, request: ClientRequest, reply: LocalReply) -> None:
+        """Answers with a response that the gateway produced after its first call returned."""
+        self._send_local_reply(request, reply)
 
-    def _reply(self, call: ClientRequest, reply: LocalReply) -> None:
-        self._write(call, reply.status, list(reply.headers), [reply.body], len(reply.body))
+    def _send_local_reply(self, request: ClientRequest, reply: LocalReply) -> None:
+        self._write_response(request, reply.status, list(reply.headers), [reply.body], len(reply.body))
 
-    def _write(
-        self, call: ClientRequest, status: int, headers: list[bytes], body: list[bytes], size: int
+    def _write_response(
+        self, request: ClientRequest, status: int, headers: list[bytes], body: list[bytes], size: int
     ) -> None:
-        if self.transport is None or self.current is not call:
+        if self.transport is None or self.current is not request:
             return
-        keep = self._keeps(call)
-        end = b"\r\n" if keep else b"Connection: close\r\n\r\n"
+        keep_alive = self._keeps_alive(request)
+        end = b"\r\n" if keep_alive else b"Connection: close\r\n\r\n"
         self.transport.writelines(
             [
                 b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b"
@@ -308,57 +330,59 @@
                 *body,
             ]
         )
-        self._answered(call, keep, status)
+        self._response_sent(request, keep_alive, status)
 
-    def _keeps(self, call: ClientRequest) -> bool:
-        # What was sent ahead has been read: a close would lose it.
-        return call.keep_alive and (bool(self.waiting) or not (self.host.lifecycle.draining or self.closing))
+    def _keeps_alive(self, request: ClientRequest) -> bool:
+        # Pipelined requests have been read already: a close would lose them.
+        return request.keep_alive and (
+            bool(self.queued) or not (self.host.lifecycle.draining or self.closing)
+        )
 
-    def _answered(self, call: ClientRequest, keep: bool, status: int = 200) -> None:
-        call.finish(status)
+    def _response_sent(self, request: ClientRequest, keep_alive: bool, status: int = 200) -> None:
+        request.finish(status)
         self.current = None
         self.active_at = self.host.clock.loop_time()
         if self.transport is None:
             return
-        if self.arriving is call:  # a client that is cut off while it sends may never see its answer
-            call.drop_body, call.keep_alive = True, keep
+        if self.arriving is request:  # a client that is cut off while it sends may never see the response
+            request.drop_body, request.keep_alive = True, keep_alive
             self.set_body_wanted(True)
-        elif not keep:  # else it was told that it may go on, and may be about to
-            self._drop_waiting()
+        elif not keep_alive:  # a client that was offered keep-alive may be about to send the next request
+            self._drop_queued()
             self.close()
-        elif self.waiting:
-            self._step()
+        elif self.queued:
+            self._start_next()
         elif self.arriving is None:
             self.frontend.idle[self] = None
 
-    def begin_stream(self, call: ClientRequest, answer: UpstreamResponse) -> None:
-        """A long answer begins: its head goes out."""
+    def begin_stream(self, request: ClientRequest, response: UpstreamResponse) -> None:
+        """Sends the head of a long response, and what there is of its body."""
         if self.transport is None:
             return
-        self.chunked = answer.length is None and call.chunks_allowed
-        if answer.length is None and not self.chunked:
-            call.keep_alive = False
+        self.chunked = response.length is None and request.chunks_allowed
+        if response.length is None and not self.chunked:
+            request.keep_alive = False
         framing = (
-            b"Content-Length: %d\r\n" % answer.length
-            if answer.length is not None
+            b"Content-Length: %d\r\n" % response.length
+            if response.length is not None
             else b"Transfer-Encoding: chunked\r\n"
             if self.chunked
             else b""
         )
-        call.keep_alive = self._keeps(call)
+        request.keep_alive = self._keeps_alive(request)
         self.transport.write(
             b"HTTP/1.1 200 OK\r\n%b%b%b\r\n"
             % (
-                b"".join(answer.forwarded_headers),
+                b"".join(response.forwarded_headers),
                 framing,
-                b"" if call.keep_alive else b"Connection: close\r\n",
+                b"" if request.keep_alive else b"Connection: close\r\n",
             )
         )
-        for data in answer.body:
+        for data in response.body:
             self.stream(data)
 
     def stream(self, data: bytes) -> None:
-        """A part of a long answer."""
+        """Sends a part of a long response."""
         if self.transport is None:
             return
         if self.chunked:
@@ -366,52 +390,62 @@
         else:
             self.transport.write(data)
 
-    def end_stream(self, call: ClientRequest, whole: bool) -> None:
-        """A long answer has ended; one that is not whole is cut off, so that the client can tell."""
+    def end_stream(self, request: ClientRequest, complete: bool) -> None:
+        """Ends a long response. One that is incomplete is cut off, so that the client can tell."""
         if self.transport is None:
             return
-        if not whole:
-            call.finish(502)  # cut off: the client can tell
+        if not complete:
+            request.finish(502)
             self.transport.abort()
             return
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
-        self._answered(call, call.keep_alive)
+        self._response_sent(request, request.keep_alive)
 
-    def _arrival_ms(self) -> float:
-        return ARRIVE_MS + (self.arriving.body_size / BODY_RATE if self.arriving is not None else 0.0)
+    def _request_timeout_ms(self) -> float:
+        return HEAD_TIMEOUT_MS + (
+            self.arriving.body_size / MIN_BODY_BYTES_PER_MS if self.arriving is not None else 0.0
+        )
 
     def close_if_timed_out(self, now: float) -> None:
-        """Closes the connection where its client is too slow or silent for too long."""
+        """Closes the connection if its client is too slow or has been idle for too long."""
         if self.transport is None:
             return
-        if self.body_paused_at is not None and not self.closing:  # it is not the client that is slow
-            call = self.current
-            if now - self.body_paused_at > STALL_TIMEOUT_MS and call is not None and call.active is not None:
-                self.host.body_stalled(call.active)
+        if self.body_paused_at is not None and not self.closing:  # the node is slow, not the client
+            request = self.current
+            if (
+                now - self.body_paused_at > STALL_TIMEOUT_MS
+                and request is not None
+                and request.active is not None
+            ):
+                self.host.body_stalled(request.active)
             return
         buffered = self.transport.get_write_buffer_size()
         if now - self.closed_at > (STALL_TIMEOUT_MS if buffered else LINGER_MS):
             self.transport.abort()
             return
-        quiet = now - self.active_at
-        busy = self.current is not None and self.current is not self.arriving and not self.paused
-        if self.closing and not busy and not self.waiting and quiet > LINGER_MS:
+        idle_ms = now - self.active_at
+        in_progress = self.current is not None and self.current is not self.arriving and not self.paused
+        if self.closing and not in_progress and not self.queued and idle_ms > LINGER_MS:
             self.transport.abort()
-        elif self.paused and quiet > STALL_TIMEOUT_MS:
+        elif self.paused and idle_ms > STALL_TIMEOUT_MS:
             self.transport.abort()
-        elif not busy and self.due_since is not None and now - self.due_since > self._arrival_ms():
+        elif (
+            not in_progress
+            and self.request_due_since is not None
+            and now - self.request_due_since > self._request_timeout_ms()
+        ):
             if self.arriving is not None and not self.closing:
-                self._fault(408, "a request that came too slowly")
-                self._step()
+                self._reject(408, "request timed out")
+                self._start_next()
             else:
-                self._close_silent(now - self.due_since)
-        elif not busy and quiet > IDLE_TIMEOUT_MS:
-            self._close_silent(quiet)
+                self._close_unless_unread(now - self.request_due_since)
+        elif not in_progress and idle_ms > IDLE_TIMEOUT_MS:
+            self._close_unless_unread(idle_ms)
 
-    def _close_silent(self, silent_ms: float) -> None:
-        """Closes a connection on which no request comes, unless one has come and lies unread."""
-        if self.closed_at < math.inf or not self.silent():
+    def _close_unless_unread(self, silent_ms: float) -> None:
+        """Closes a connection on which no request arrives, unless one lies unread."""
+        if self.closed_at < math.inf or not self.has_no_unread_input():
             return
         assert self.transport is not None
         peer = self.transport.get_extra_info("peername")
--- a/notchflow/net/console.py
+++ b/notchflow/net/console.py
@@ -1,4 +1,4 @@
-"""The console: operators' calls over HTTP/1.1, one on each connection, answered whatever the load."""
+"""The console: operators' requests over HTTP/1.1, one per connection, answered whatever the load."""
 
 from __future__ import annotations
 
@@ -14,57 +14,62 @@
 
 log = logging.getLogger(__name__)
 
-# Descriptors set aside for callers that have not said all: of so many in all, or of this part of the limit.
-CALLERS_MAX, CALLERS_SHARE = 48, 1 / 8
+# Descriptors reserved for connections with an incomplete request: at most this many, and at most this part of
+# the limit.
+MAX_CONNECTIONS, MAX_CONNECTIONS_SHARE = 48, 1 / 8
 BACKLOG: Final = 256
-CALL_MAX: Final = 8 << 10  # bytes of one call, with its head
-DUE_MS: Final = 2_000.0  # a call that has not come whole by then is no call
-ACCEPTS: Final = 8  # a turn: who is accepted has some turns to be heard before others take its place
-TEXT: Final = (b"Content-Type: text/plain; version=0.0.4; charset=utf-8\r\n",)
+MAX_REQUEST_BYTES: Final = 8 << 10  # bytes of a request, with its head
+REQUEST_TIMEOUT_MS: Final = 2_000.0  # time for a request to arrive
+# per turn of the loop, so that an accepted connection has some turns to be read before others displace it
+ACCEPTS_PER_TURN: Final = 8
+TEXT_HEADERS: Final = (b"Content-Type: text/plain; version=0.0.4; charset=utf-8\r\n",)
 STATUS, METRICS, STANDBY, ACTIVE = "/status", "/status/metrics", "/standby", "/active"
 METHODS: Final = {STATUS: "GET", METRICS: "GET", STANDBY: "POST", ACTIVE: "POST"}
 
 
-class Operated(Protocol):
-    """What the console asks of the proxy."""
+class ConsoleHost(Protocol):
+    """What the console needs of the proxy."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
 
     def is_serving(self) -> bool:
-        """Whether this process takes clients: from its start on until it is told to end."""
+        """Returns whether this process serves clients: from its start until it is told to stop."""
 
     def enter_standby(self) -> bool:
-        """Sends clients away; whether that is done now."""
+        """Starts standby. Returns whether the proxy is on standby now."""
 
     def activate(self) -> bool:
-        """Back to work; whether that is done now."""
+        """Ends standby. Returns whether the proxy is active now."""
 
     def metrics_text(self) -> str:
-        """The figures."""
+        """Returns the current metrics in the Prometheus text format."""
 
 
-def answer(operated: Operated, method: str, path: str) -> LocalReply:
-    """What a call is answered with, after it is carried out."""
+def handle_request(host: ConsoleHost, method: str, path: str) -> LocalReply:
+    """Carries out a request and returns the response."""
     allowed = METHODS.get(path)
     if allowed is None:
-        return LocalReply(404, TEXT, f"no such call; there are {', '.join(METHODS)}\n".encode())
+        return LocalReply(404, TEXT_HEADERS, f"no such call; there are {', '.join(METHODS)}\n".encode())
     if method != allowed:
         return LocalReply(405, (f"Allow: {allowed}\r\n".encode(),), b"")
     if path == METRICS:
-        return LocalReply(200, TEXT, operated.metrics_text().encode())
+        return LocalReply(200, TEXT_HEADERS, host.metrics_text().encode())
     if path == STATUS:
-        done, no = operated.is_serving(), 503
+        done, failure_status = host.is_serving(), 503
     else:
-        done, no = operated.enter_standby() if path == STANDBY else operated.activate(), 409
+        done, failure_status = host.enter_standby() if path == STANDBY else host.activate(), 409
     return (
-        LocalReply(200, TEXT, b"yes\n") if done else LocalReply(no, TEXT, b"no: not ready, or told to end\n")
+        LocalReply(200, TEXT_HEADERS, b"yes\n")
+        if done
+        else LocalReply(failure_status, TEXT_HEADERS, b"no: not ready, or told to end\n")
     )
 
 
-class Caller(asyncio.Protocol):
-    """One caller and its call. Most calls lie whole in the kernel when the caller is accepted, and are
-    answered then and there; the others wait for the rest as a connection of the loop."""
+class ConsoleConnection(asyncio.Protocol):
+    """A connection to the console, with its one request. Most requests lie complete in the kernel's buffer
+    when the connection is accepted, and are answered at once; other connections wait on the loop for the
+    rest."""
 
     def __init__(self, console: Console) -> None:
         self.console = console
@@ -72,78 +77,78 @@
         self.parser: HttpRequestParser | None = HttpRequestParser(self)
         self.url = b""
         self.size = 0
-        self.since = console.operated.clock.now()
-        self.due: LocalReply | None = None
-        self.unsent = b""  # of an answer that was longer than the kernel took at once
+        self.opened_at = console.host.clock.now()
+        self.response: LocalReply | None = None
+        self.unsent = b""  # the part of the response that the kernel did not accept at once
 
     def feed(self, data: bytes) -> bytes:
-        """A part of the call; the answer, once it is due."""
-        if self.due is not None or self.parser is None:
+        """Parses a part of the request. Returns the encoded response once there is one."""
+        if self.response is not None or self.parser is None:
             return b""
         self.size += len(data)
         try:
             self.parser.feed_data(data)
         except HttpParserUpgrade:
-            pass  # the call itself came whole
+            pass  # the request itself is complete
         except HttpParserError:
-            self.due = self.due or LocalReply(400)
-        if self.due is None and self.size > CALL_MAX:
-            self.due = LocalReply(413)
-        return b"" if self.due is None else written(self.due)
+            self.response = self.response or LocalReply(400)
+        if self.response is None and self.size > MAX_REQUEST_BYTES:
+            self.response = LocalReply(413)
+        return b"" if self.response is None else encode_response(self.response)
 
     def on_url(self, url: bytes) -> None:
-        """Parser: a part of the target."""
+        """Parser: a part of the request target."""
         self.url += url
 
     def on_message_complete(self) -> None:
-        """Parser: the call is whole and is answered."""
-        if self.due is not None or self.parser is None:
+        """Parser: the request is complete and is carried out."""
+        if self.response is not None or self.parser is None:
             return
         path = self.url.partition(b"?")[0].decode("latin-1")
         try:
-            self.due = answer(self.console.operated, self.parser.get_method().decode(), path)
+            self.response = handle_request(self.console.host, self.parser.get_method().decode(), path)
         except Exception:
-            log.exception("a call failed")
-            self.due = LocalReply(503)
+            log.exception("a console request failed")
+            self.response = LocalReply(503)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: the caller's connection is open."""
+        """asyncio: the connection is open."""
         self.transport = cast(asyncio.Transport, transport)
-        if self not in self.console.callers:
-            self.drop()  # room was made for others meanwhile
-        self.end(self.unsent)
+        if self not in self.console.connections:
+            self.abort()  # displaced by another connection meanwhile
+        self.send_and_close(self.unsent)
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: a part of a call."""
-        self.end(self.feed(data))
+        """asyncio: a part of the request has arrived."""
+        self.send_and_close(self.feed(data))
 
-    def end(self, data: bytes) -> None:
-        """Writes the one answer, if it is due, and ends the connection."""
+    def send_and_close(self, data: bytes) -> None:
+        """Sends the response, if there is one, and closes the connection."""
         if data and self.transport is not None:
             self.transport.write(data)
             self.transport.close()
 
-    def late(self) -> None:
-        """The call has not come in time."""
-        if self.due is not None:
-            self.drop()  # it does not read its answer
+    def time_out(self) -> None:
+        """Ends a connection whose request has not arrived in time."""
+        if self.response is not None:
+            self.abort()  # the client does not read its response
         else:
-            self.due = LocalReply(408)
-            self.end(written(self.due))
+            self.response = LocalReply(408)
+            self.send_and_close(encode_response(self.response))
 
-    def drop(self) -> None:
-        """Waits no longer for what this caller may yet send."""
+    def abort(self) -> None:
+        """Aborts the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the caller has gone."""
+        """asyncio: the connection has closed."""
         self.transport = self.parser = None
-        self.console.callers.pop(self, None)
+        self.console.connections.pop(self, None)
 
 
-def written(reply: LocalReply) -> bytes:
-    """An answer as it is sent."""
+def encode_response(reply: LocalReply) -> bytes:
+    """Encodes a response."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\nConnection: close\r\n\r\n%b" % (
         reply.status,
         REASON_PHRASES[reply.status],
@@ -153,53 +158,55 @@
     )
 
 
-def callers_of(sockets: int) -> int:
-    """How many callers a limit on descriptors leaves room for."""
-    return max(min(CALLERS_MAX, int(sockets * CALLERS_SHARE)), 4)
+def connection_limit(sockets: int) -> int:
+    """Returns how many console connections a limit on descriptors leaves room for."""
+    return max(min(MAX_CONNECTIONS, int(sockets * MAX_CONNECTIONS_SHARE)), 4)
 
 
 class Console:
-    """The listener and its callers, in the order in which they came."""
+    """The listening socket of the console and its connections, in the order in which they were accepted."""
 
-    def __init__(self, operated: Operated, address: tuple[str, int], most: int = CALLERS_MAX) -> None:
-        self.operated, self.address, self.most = operated, address, most
+    def __init__(
+        self, host: ConsoleHost, address: tuple[str, int], max_connections: int = MAX_CONNECTIONS
+    ) -> None:
+        self.host, self.address, self.max_connections = host, address, max_connections
         self.listener: socket.socket | None = None
-        self.callers: dict[Caller, None] = {}
-        self.adopting: set[asyncio.Task[Any]] = set()
+        self.connections: dict[ConsoleConnection, None] = {}
+        self.adopt_tasks: set[asyncio.Task[Any]] = set()
 
     def listen(self) -> None:
-        """Opens the listener."""
+        """Opens the listening socket."""
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
         self.listener = socket.create_server(self.address, family=family, backlog=BACKLOG)
         self.listener.setblocking(False)
-        self.operated.loop.add_reader(self.listener, self._accept)
+        self.host.loop.add_reader(self.listener, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
+        for _ in range(ACCEPTS_PER_TURN):
             if self.listener is None:
                 return
             try:
                 sock, _address = self.listener.accept()
-            except OSError:  # nobody waits, or they went away again
+            except OSError:  # no connection is waiting, or it was closed again
                 return
             sock.setblocking(False)
-            if not self._answered(sock, caller := Caller(self)):
+            if not self._answer_at_once(sock, connection := ConsoleConnection(self)):
                 self._make_room()
-                self.callers[caller] = None
-                task = self.operated.loop.create_task(self._adopt(sock, caller))
-                self.adopting.add(task)
-                task.add_done_callback(self.adopting.discard)
+                self.connections[connection] = None
+                task = self.host.loop.create_task(self._adopt(sock, connection))
+                self.adopt_tasks.add(task)
+                task.add_done_callback(self.adopt_tasks.discard)
 
-    def _answered(self, sock: socket.socket, caller: Caller) -> bool:
-        """Answers at once what has come already; false where the rest must be waited for."""
+    def _answer_at_once(self, sock: socket.socket, connection: ConsoleConnection) -> bool:
+        """Answers a request that has already arrived. Returns false if the rest of it must be waited for."""
         try:
-            data = sock.recv(CALL_MAX)
-            due = caller.feed(data)
-            if data and not due:
+            data = sock.recv(MAX_REQUEST_BYTES)
+            response = connection.feed(data)
+            if data and not response:
                 return False
-            if due:
-                caller.unsent = due[sock.send(due) :]
-                if caller.unsent:
+            if response:
+                connection.unsent = response[sock.send(response) :]
+                if connection.unsent:
                     return False
         except BlockingIOError:
             return False
@@ -209,31 +216,32 @@
         return True
 
     def _make_room(self) -> None:
-        """One who says nothing must not keep out the others: who came first has had the longest time."""
-        if len(self.callers) >= self.most:
-            first = next(iter(self.callers))
-            del self.callers[first]
-            first.drop()
-
-    async def _adopt(self, sock: socket.socket, caller: Caller) -> None:
+        """Aborts the oldest connection at the limit: silent clients must not keep others out, and the oldest
+        one has had the most time."""
+        if len(self.connections) >= self.max_connections:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
+            oldest.abort()
+
+    async def _adopt(self, sock: socket.socket, connection: ConsoleConnection) -> None:
         try:
-            await self.operated.loop.connect_accepted_socket(lambda: caller, sock)
+            await self.host.loop.connect_accepted_socket(lambda: connection, sock)
         except OSError:
-            self.callers.pop(caller, None)
+            self.connections.pop(connection, None)
             sock.close()
 
-    def sweep(self, now: float) -> None:
-        """Answers those whose call has not come in time."""
-        for caller in list(self.callers):
-            if now < caller.since + DUE_MS:
+    def close_expired(self, now: float) -> None:
+        """Times out connections whose request has not arrived in time."""
+        for connection in list(self.connections):
+            if now < connection.opened_at + REQUEST_TIMEOUT_MS:
                 break
-            caller.late()
+            connection.time_out()
 
-    def shut(self) -> None:
-        """Closes the listener and all callers."""
+    def close(self) -> None:
+        """Closes the listening socket and all connections."""
         if self.listener is not None:
-            self.operated.loop.remove_reader(self.listener)
+            self.host.loop.remove_reader(self.listener)
             self.listener.close()
             self.listener = None
-        for caller in list(self.callers):
-            caller.drop()
+        for connection in list(self.connections):
+            connection.abort()
--- a/notchflow/net/handover.py
+++ b/notchflow/net/handover.py
@@ -1,4 +1,5 @@
-"""The link between a process and the one that takes its place: a Unix socket in the folder both share."""
+"""The links between the processes of one proxy: a Unix socket in their shared folder carries state and
+descriptors."""
 
 from __future__ import annotations
 
@@ -14,62 +15,65 @@
 
 from notchflow.net.clock import Clock
 from notchflow.net.timers import TimerId
-from notchflow.operations.handover import HandoverError, Reader, Shares, pack
+from notchflow.operations.handover import FrameReader, HandoverError, LimitShares, encode_frame
 
 log = logging.getLogger(__name__)
 
-PATIENCE_S: Final = 1.0  # the old process may be in the midst of a long turn; clients are served meanwhile
-PIECE: Final = 64 << 10
-FDS_MAX: Final = 64  # connections passed on with one frame
-REPORT_MS: Final = 100.0
-MALFORMED: Final = (OSError, HandoverError, ValueError, TypeError, KeyError)
+# The old process may be in a long turn of its loop; it serves the clients meanwhile.
+PEER_TIMEOUT_S: Final = 1.0
+READ_SIZE: Final = 64 << 10
+MAX_DESCRIPTORS_PER_FRAME: Final = 64
+USAGE_REPORT_INTERVAL_MS: Final = 100.0
+MALFORMED_FRAME_ERRORS: Final = (OSError, HandoverError, ValueError, TypeError, KeyError)
 
 
-class Predecessor(Protocol):
-    """What a link needs of the process at its end."""
+class HandoverHost(Protocol):
+    """What the links need of the process at this end."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
 
     def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
-        """Calls back at a time, in milliseconds on the clock."""
+        """Calls back at a time in milliseconds on the clock."""
 
     def usage(self) -> tuple[int, int]:
-        """Descriptors in use, and bytes held."""
+        """Returns the number of descriptors in use and the number of buffered bytes."""
 
     def adopt_client_connection(self, sock: socket.socket) -> None:
-        """Goes on with a client's connection that another process had."""
+        """Serves a client connection that another process handed over."""
 
     def adopt_node_connection(self, sock: socket.socket, node: int, address: str, idle_ms: float) -> None:
-        """Keeps a connection to a box that another process had, idle for so long; or closes it."""
+        """Keeps a connection to a node that another process handed over after `idle_ms` of idle time, or
+        closes it."""
 
-    def state(self) -> dict[str, Any]:
-        """What the process that takes over is told."""
+    def export_state(self) -> dict[str, Any]:
+        """Returns the state that a new process starts from."""
 
-    def hear(self, news: dict[str, Any]) -> None:
-        """What another process passes on: entries of the list, or that clients are sent away or wanted again.
-        A ValueError, TypeError or KeyError says that it is malformed."""
+    def apply_update(self, update: dict[str, Any]) -> None:
+        """Applies an update from another process: changes to the list, or the start or end of standby. A
+        ValueError, TypeError or KeyError says that it is malformed."""
 
-    def divide(self, shares: Shares) -> None:
-        """Keeps to its part of the limits from now on."""
+    def apply_limit_shares(self, shares: LimitShares) -> None:
+        """Applies this process's part of the limits from now on."""
 
 
-class Place:
-    """Where the processes of one proxy meet. The path goes by way of the folder's descriptor, since the path
-    of a Unix socket may have 107 bytes at most."""
+class HandoverSocket:
+    """The Unix socket at which the processes of one proxy find each other. Its path goes through the
+    descriptor of the folder, as the path of a Unix socket is limited to 107 bytes."""
 
     def __init__(self, folder: str, name: str) -> None:
-        self.folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        self.folder_fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         self.name = f"notchflow-{re.sub('[^A-Za-z0-9_-]', '_', name)[:40]}.sock"
 
     def path(self, name: str | None = None) -> str:
-        """Where a socket of this folder is reached, however long the folder's own path is."""
-        return f"/proc/self/fd/{self.folder}/{name or self.name}"
+        """Returns a path to a socket in the folder, however long the folder's own path is."""
+        return f"/proc/self/fd/{self.folder_fd}/{name or self.name}"
 
-    def dial(self) -> socket.socket | None:
-        """A connection to the process that runs, if one does. A file that nobody listens at is stale."""
+    def connect(self) -> socket.socket | None:
+        """Returns a connection to the running process, or None if there is none: a socket file without a
+        listener is stale."""
         sock = socket.socket(socket.AF_UNIX)
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(PEER_TIMEOUT_S)
         try:
             sock.connect(self.path())
         except OSError:
@@ -78,48 +82,52 @@
         return sock
 
     def listen(self) -> socket.socket:
-        """Takes the place: the name leads here from one moment to the next."""
+        """Opens the listening socket and renames it into place, so that the name switches to this process
+        atomically."""
         own = f"{self.name}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(own, dir_fd=self.folder)
+            os.unlink(own, dir_fd=self.folder_fd)
         sock = socket.socket(socket.AF_UNIX)
         sock.setblocking(False)
         sock.bind(self.path(own))
         sock.listen(8)
-        os.rename(own, self.name, src_dir_fd=self.folder, dst_dir_fd=self.folder)
+        os.rename(own, self.name, src_dir_fd=self.folder_fd, dst_dir_fd=self.folder_fd)
         return sock
 
 
-class Link:
-    """A connection to another process of this proxy: its end is that process's end. Open connections of
-    clients go along with a frame, as the kernel passes descriptors on."""
+class HandoverLink:
+    """A connection to another process of this proxy; it closes when that process ends. Descriptors of open
+    connections are passed along with a frame, as SCM_RIGHTS messages."""
 
-    def __init__(self, succession: Succession, sock: socket.socket, heir: bool, reader: Reader) -> None:
-        self.succession, self.sock, self.heir, self.reader = succession, sock, heir, reader
-        self.loop = succession.owner.loop
+    def __init__(
+        self, handover: Handover, sock: socket.socket, is_successor: bool, reader: FrameReader
+    ) -> None:
+        self.handover, self.sock, self.is_successor, self.frame_reader = handover, sock, is_successor, reader
+        self.loop = handover.host.loop
         sock.setblocking(False)
-        self.descriptors: deque[int] = deque()  # that came, until the frame that tells of them is whole
-        self.queue: deque[tuple[bytes, list[int]]] = deque()
-        self.over = False
-        self.boxes = False  # whether the other process takes connections to boxes: an older program does not
+        self.received_descriptors: deque[int] = deque()  # kept until their frame is complete
+        self.send_queue: deque[tuple[bytes, list[int]]] = deque()
+        self.closed = False
+        # whether the other process accepts connections to nodes: an older program does not
+        self.takes_node_connections = False
         self.loop.add_reader(sock, self._read)
 
-    def send(self, state: dict[str, Any], descriptors: Sequence[int] = ()) -> None:
-        """Writes a frame; the descriptors are closed here once they are on their way."""
-        self.queue.append((pack(state), list(descriptors)))
-        if len(self.queue) == 1:
+    def send(self, frame: dict[str, Any], descriptors: Sequence[int] = ()) -> None:
+        """Sends a frame. The descriptors are closed here once they have been sent."""
+        self.send_queue.append((encode_frame(frame), list(descriptors)))
+        if len(self.send_queue) == 1:
             self._write()
 
     def _write(self) -> None:
         try:
-            while self.queue:
-                data, descriptors = self.queue[0]
+            while self.send_queue:
+                data, descriptors = self.send_queue[0]
                 sent = socket.send_fds(self.sock, [data], descriptors)
                 _close_all(descriptors)
                 if sent < len(data):
-                    self.queue[0] = data[sent:], []
+                    self.send_queue[0] = data[sent:], []
                 else:
-                    self.queue.popleft()
+                    self.send_queue.popleft()
             self.loop.remove_writer(self.sock)
         except BlockingIOError:
             self.loop.add_writer(self.sock, self._write)
@@ -128,58 +136,61 @@
 
     def _read(self) -> None:
         try:
-            data, descriptors, _, _ = socket.recv_fds(self.sock, PIECE, FDS_MAX)
-            self.descriptors.extend(descriptors)
+            data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE, MAX_DESCRIPTORS_PER_FRAME)
+            self.received_descriptors.extend(descriptors)
             if not data:
-                self.close("it has ended")
+                self.close("the process has ended")
                 return
-            self.take(self.reader.feed(data))
+            self.handle_frames(self.frame_reader.feed(data))
         except BlockingIOError:
             return
         except (OSError, HandoverError) as error:
             self.close(str(error))
 
-    def take(self, states: Iterable[dict[str, Any]]) -> None:
-        """Acts on what frames tell; a process that cannot be understood is not listened to any more."""
+    def handle_frames(self, frames: Iterable[dict[str, Any]]) -> None:
+        """Handles received frames. The link to a process that sends malformed frames is closed."""
         try:
-            for state in states:
-                self._heard(state)
-        except MALFORMED as error:
+            for frame in frames:
+                self._handle_frame(frame)
+        except MALFORMED_FRAME_ERRORS as error:
             self.close(str(error))
 
-    def _heard(self, state: dict[str, Any]) -> None:
-        if "used" in state:
-            self.succession.told(self, float(state["used"]), float(state["held"]))
-        if "news" in state:
-            self.succession.owner.hear(state["news"])
-            self.succession.tell(state["news"], self)  # processes link in a row, so that none hears twice
-        boxes = state.get("boxes", ())
-        if len(boxes) > len(self.descriptors):
-            raise HandoverError("more connections to boxes are told of than came")
-        clients = min(int(state.get("clients", 0)), len(self.descriptors) - len(boxes))
-        if boxes or clients:
-            self.succession.moved(self, -len(boxes) - clients)
-        for node, address, idle_ms in boxes:
-            sock = socket.socket(fileno=self.descriptors.popleft())
-            self.succession.owner.adopt_node_connection(sock, int(node), str(address), float(idle_ms))
+    def _handle_frame(self, frame: dict[str, Any]) -> None:
+        if "used" in frame:
+            self.handover.record_usage(self, float(frame["used"]), float(frame["held"]))
+        if "news" in frame:
+            self.handover.host.apply_update(frame["news"])
+            # processes link in a chain, so none receives an update twice
+            self.handover.send_update(frame["news"], self)
+        node_connections = frame.get("boxes", ())
+        if len(node_connections) > len(self.received_descriptors):
+            raise HandoverError("more node connections announced than descriptors received")
+        clients = min(int(frame.get("clients", 0)), len(self.received_descriptors) - len(node_connections))
+        if node_connections or clients:
+            self.handover.record_transfer(self, -len(node_connections) - clients)
+        for node, address, idle_ms in node_connections:
+            sock = socket.socket(fileno=self.received_descriptors.popleft())
+            self.handover.host.adopt_node_connection(sock, int(node), str(address), float(idle_ms))
         for _ in range(clients):
-            self.succession.owner.adopt_client_connection(socket.socket(fileno=self.descriptors.popleft()))
-        self.boxes = bool(state.get("takes_boxes", self.boxes))
-
-    def close(self, why: str) -> None:
-        """The other process is gone, or cannot be understood."""
-        if self.over:
+            self.handover.host.adopt_client_connection(
+                socket.socket(fileno=self.received_descriptors.popleft())
+            )
+        self.takes_node_connections = bool(frame.get("takes_boxes", self.takes_node_connections))
+
+    def close(self, reason: str) -> None:
+        """Closes the link: the other process has ended, or its frames are malformed."""
+        if self.closed:
             return
-        self.over = True
-        log.info("the link to another process ends: %s", why)
+        self.closed = True
+        log.info("link to another process closed: %s", reason)
         self.loop.remove_reader(self.sock)
         self.loop.remove_writer(self.sock)
         self.sock.close()
-        _close_all(self.descriptors)
-        for _, descriptors in self.queue:
+        _close_all(self.received_descriptors)
+        for _, descriptors in self.send_queue:
             _close_all(descriptors)
-        self.queue.clear()
-        self.succession.ended(self)
+        self.send_queue.clear()
+        self.handover.link_closed(self)
 
 
 def _close_all(descriptors: Iterable[int]) -> None:
@@ -187,58 +198,61 @@
         os.close(descriptor)
 
 
-class Succession:
-    """The place, the processes beside this one, and what was taken over at the start."""
+class Handover:
+    """The handover between processes of one proxy: the listening socket, the links, and the state received at
+    the start."""
 
-    def __init__(self, owner: Predecessor, folder: str, name: str) -> None:
-        self.owner = owner
-        self.place = Place(folder, name)
-        self.shares = Shares()
-        self.links: list[Link] = []
+    def __init__(self, host: HandoverHost, folder: str, name: str) -> None:
+        self.host = host
+        self.handover_socket = HandoverSocket(folder, name)
+        self.limit_shares = LimitShares()
+        self.links: list[HandoverLink] = []
         self.listener: socket.socket | None = None
-        self.inherited: tuple[socket.socket, Reader, list[dict[str, Any]]] | None = None
+        self.predecessor: tuple[socket.socket, FrameReader, list[dict[str, Any]]] | None = None
         self.leaving = False
-        self.reporting = False  # the timer of the next report is set
+        self.report_scheduled = False  # the timer of the next usage report is set
 
-    def ask(self) -> dict[str, Any] | None:
-        """What the process that runs tells, if there is one; waits for it, as this one serves nobody yet."""
-        sock = self.place.dial()
+    def request_state(self) -> dict[str, Any] | None:
+        """Returns the state of the running process, or None if there is none. Blocks, as this process serves
+        no clients yet."""
+        sock = self.handover_socket.connect()
         if sock is None:
             return None
-        reader = Reader()
+        reader = FrameReader()
         try:
-            while data := sock.recv(PIECE):
-                states = reader.feed(data)
-                if states:
-                    self.inherited = sock, reader, states[1:]
-                    return states[0]
-            log.warning("the process before this one ended in the midst of its handover")
+            while data := sock.recv(READ_SIZE):
+                frames = reader.feed(data)
+                if frames:
+                    self.predecessor = sock, reader, frames[1:]
+                    return frames[0]
+            log.warning("the process before this one ended during the handover")
         except (OSError, HandoverError) as error:
             log.warning("nothing is taken over from the process before this one: %s", error)
         sock.close()
         return None
 
-    def begin(self) -> None:
-        """This process serves: the next one finds it here, and the one before knows that it runs."""
-        if self.inherited is not None:
-            (sock, reader, more), self.inherited = self.inherited, None
-            link = Link(self, sock, False, reader)
-            self._joined(link)
-            link.take(more)  # came along with the first, and tells how much the other process uses
+    def start(self) -> None:
+        """Starts to serve: keeps the link to the predecessor, and listens for a successor."""
+        if self.predecessor is not None:
+            (sock, reader, more), self.predecessor = self.predecessor, None
+            link = HandoverLink(self, sock, False, reader)
+            self._add_link(link)
+            # Received along with the state; they report the usage of the other process.
+            link.handle_frames(more)
         self._listen()
 
     def _listen(self) -> None:
-        self._unlisten()
+        self._close_listener()
         try:
-            self.listener = self.place.listen()
+            self.listener = self.handover_socket.listen()
         except OSError as error:
             log.warning("the process after this one will begin from nothing: %s", error)
             return
-        self.owner.loop.add_reader(self.listener, self._accept)
+        self.host.loop.add_reader(self.listener, self._accept)
 
-    def _unlisten(self) -> None:
+    def _close_listener(self) -> None:
         if self.listener is not None:
-            self.owner.loop.remove_reader(self.listener)
+            self.host.loop.remove_reader(self.listener)
             self.listener.close()
             self.listener = None
 
@@ -248,82 +262,85 @@
             sock, _ = self.listener.accept()
         except OSError:
             return
-        link = Link(self, sock, True, Reader())
-        link.send(self.owner.state())
-        self._joined(link)
+        link = HandoverLink(self, sock, True, FrameReader())
+        link.send(self.host.export_state())
+        self._add_link(link)
 
-    def _joined(self, link: Link) -> None:
+    def _add_link(self, link: HandoverLink) -> None:
         self.links.append(link)
-        self.shares.joined(link)
-        self.owner.divide(self.shares)
-        if not self.reporting:
-            self._report()
-
-    def _report(self, _: object = None) -> None:
-        """Tells the others what this process uses, as long as there are any."""
-        self.reporting = bool(self.links)
-        if self.reporting:
-            used, held = self.owner.usage()
-            self._send({"used": used, "held": held, "takes_boxes": True})
-            self.owner.call_at(self.owner.clock.now() + REPORT_MS, self._report)
-
-    def tell(self, news: dict[str, Any], source: Link | None = None) -> None:
-        """Passes on to the other processes what was told to this one."""
-        self._send({"news": news}, source)
-
-    def _send(self, state: dict[str, Any], but: Link | None = None) -> None:
-        for link in list(self.links):  # one that has ended leaves the list as it is written to
-            if link is not but:
-                link.send(state)
-
-    def moved(self, link: Link, descriptors: int) -> None:
-        """Connections have passed to that process, or, where negative, have come from it."""
-        self.shares.moved(link, descriptors)
-        self.owner.divide(self.shares)
-
-    def pass_clients(self, link: Link, descriptors: list[int]) -> None:
-        """Passes clients' connections on."""
-        self.moved(link, len(descriptors))
+        self.limit_shares.add_process(link)
+        self.host.apply_limit_shares(self.limit_shares)
+        if not self.report_scheduled:
+            self._report_usage()
+
+    def _report_usage(self, _: object = None) -> None:
+        """Reports the usage of this process to the others, as long as there are any."""
+        self.report_scheduled = bool(self.links)
+        if self.report_scheduled:
+            used, held = self.host.usage()
+            self._broadcast({"used": used, "held": held, "takes_boxes": True})
+            self.host.call_at(self.host.clock.now() + USAGE_REPORT_INTERVAL_MS, self._report_usage)
+
+    def send_update(self, update: dict[str, Any], source: HandoverLink | None = None) -> None:
+        """Sends an update to the other processes, except the one that it came from."""
+        self._broadcast({"news": update}, source)
+
+    def _broadcast(self, frame: dict[str, Any], exclude: HandoverLink | None = None) -> None:
+        for link in list(self.links):  # a link that fails is removed from the list while it is written to
+            if link is not exclude:
+                link.send(frame)
+
+    def record_transfer(self, link: HandoverLink, descriptors: int) -> None:
+        """Counts descriptors handed over to that process or, if negative, received from it."""
+        self.limit_shares.record_transfer(link, descriptors)
+        self.host.apply_limit_shares(self.limit_shares)
+
+    def send_client_connections(self, link: HandoverLink, descriptors: list[int]) -> None:
+        """Hands over client connections."""
+        self.record_transfer(link, len(descriptors))
         link.send({"clients": len(descriptors)}, descriptors)
 
-    def pass_boxes(self, link: Link, boxes: list[tuple[int, str, float]], descriptors: list[int]) -> None:
-        """Passes connections to boxes on: which box, its address, and for how long each has been idle, in
-        milliseconds."""
-        self.moved(link, len(descriptors))
-        link.send({"boxes": boxes}, descriptors)
-
-    def told(self, link: Link, used: float, held: float) -> None:
-        """What another process uses."""
-        self.shares.told(link, used, held)
-        self.owner.divide(self.shares)
-
-    def ended(self, link: Link) -> None:
-        """That process has ended. Where it was to take over, this one goes on and can be found again."""
+    def send_node_connections(
+        self, link: HandoverLink, node_connections: list[tuple[int, str, float]], descriptors: list[int]
+    ) -> None:
+        """Hands over connections to nodes: node, address and idle time in milliseconds of each."""
+        self.record_transfer(link, len(descriptors))
+        link.send({"boxes": node_connections}, descriptors)
+
+    def record_usage(self, link: HandoverLink, used: float, held: float) -> None:
+        """Stores the usage that another process reported."""
+        self.limit_shares.record_usage(link, used, held)
+        self.host.apply_limit_shares(self.limit_shares)
+
+    def link_closed(self, link: HandoverLink) -> None:
+        """Removes a closed link. If it led to a successor, this process goes on and listens for another
+        one."""
         if link in self.links:
             self.links.remove(link)
-        self.shares.left(link)
-        self.owner.divide(self.shares)
-        if link.heir and not self.leaving:
+        self.limit_shares.remove_process(link)
+        self.host.apply_limit_shares(self.limit_shares)
+        if link.is_successor and not self.leaving:
             self._listen()
 
     @property
-    def heir(self) -> Link | None:
-        """The process that takes over, if one is there."""
-        return next((link for link in reversed(self.links) if link.heir), None)
+    def successor(self) -> HandoverLink | None:
+        """The link to the process that takes over, if there is one."""
+        return next((link for link in reversed(self.links) if link.is_successor), None)
 
     @property
-    def passing(self) -> bool:
-        """Whether something is still on its way to the process that takes over."""
-        return any(link.queue for link in self.links)
+    def is_sending(self) -> bool:
+        """Whether frames to other processes are still being sent."""
+        return any(link.send_queue for link in self.links)
 
-    def leave(self) -> None:
-        """This process is to end; the links stay until it does, as it still uses its part of the limits."""
+    def begin_shutdown(self) -> None:
+        """Stops listening for a successor. The links stay until the process ends, as it still uses its part
+        of the limits."""
         self.leaving = True
-        self._unlisten()
+        self._close_listener()
 
-    def shut(self) -> None:
-        """Ends all links."""
-        self.leave()
+    def close(self) -> None:
+        """Closes all links."""
+        self.begin_shutdown()
         for link in list(self.links):
-            link.close("this process ends")
-        os.close(self.place.folder)
+            link.close("this process is stopping")
+        os.close(self.handover_socket.folder_fd)
--- a/notchflow/net/pacing.py
+++ b/notchflow/net/pacing.py
@@ -1,7 +1,7 @@
-"""A start that leaves the processor to a process that serves: pauses between imports.
+"""Paces the imports of a starting process, to leave processor time to the process that is serving.
 
-Where a new process takes over from one that serves, both share a part of a core. Imports are most of what a
-start costs, in one piece, and under a quota the serving process stands still meanwhile: deadlines pass.
+Where a new process takes over from one that serves, both share a part of a core. Imports are most of the work
+of a start, done in one piece, and under a quota the serving process stands still meanwhile: deadlines pass.
 """
 
 from __future__ import annotations
@@ -13,27 +13,28 @@
 from types import ModuleType
 from typing import Final
 
-PAUSE_PER_WORK: Final = 2.0  # pauses are so many times as long as the work before them
-WORK_LEAST_S: Final = 0.002  # of processor time, before a pause is worth its switches
+PAUSE_RATIO: Final = 2.0  # ratio of a pause to the work before it
+MIN_WORK_S: Final = 0.002  # processor time that makes a pause worth its context switches
 
 
 class PausingFinder:
-    """An import hook that finds nothing: asked before each module, it pauses for the work since."""
+    """An import hook that finds no modules: called before each import, it sleeps in proportion to the work
+    since its last pause."""
 
     def __init__(self) -> None:
-        self.worked_s = time.process_time()
+        self.cpu_at_last_pause_s = time.process_time()
 
     def find_spec(self, name: str, path: Sequence[str] | None, target: ModuleType | None = None) -> None:
-        """Leaves each module to the finders after this one."""
-        work_s = time.process_time() - self.worked_s
-        if work_s >= WORK_LEAST_S:
-            time.sleep(PAUSE_PER_WORK * work_s)
-            self.worked_s = time.process_time()
+        """Returns None, which leaves the module to the next finder."""
+        work_s = time.process_time() - self.cpu_at_last_pause_s
+        if work_s >= MIN_WORK_S:
+            time.sleep(PAUSE_RATIO * work_s)
+            self.cpu_at_last_pause_s = time.process_time()
 
 
 @contextmanager
 def paced_imports() -> Iterator[None]:
-    """Pauses between the modules that are imported inside."""
+    """Paces the imports within the context."""
     finder = PausingFinder()
     sys.meta_path.insert(0, finder)
     try:
--- a/notchflow/net/process.py
+++ b/notchflow/net/process.py
@@ -1,4 +1,5 @@
-"""One proxy as a process: reads its configuration, runs until it is told to stop, and says how it ended."""
+"""The proxy as a process: reads the configuration, runs until a signal stops it, and returns an exit
+status."""
 
 from __future__ import annotations
 
@@ -14,16 +15,17 @@
 from notchflow import logs
 from notchflow.net.collector import freeze_startup_objects
 from notchflow.net.config import ConfigError, load, reload
-from notchflow.net.handover import Succession
+from notchflow.net.handover import Handover
 from notchflow.net.host import Host
 
 log = logging.getLogger(__name__)
 
 
-def on_hangup(host: Host) -> None:
-    """Takes over the file as it is now; one that cannot be read changes nothing and ends nothing."""
+def on_sighup(host: Host) -> None:
+    """Handles SIGHUP: applies the configuration file as it is now. A file that cannot be read changes
+    nothing."""
     try:
-        config = reload(os.environ, host.config.shape)
+        config = reload(os.environ, host.config.key_paths)
     except ConfigError as error:
         log.error("the configuration stays as it was: %s", error)
         host.metrics.cfg_invalid += 1
@@ -32,7 +34,7 @@
 
 
 def main() -> int:
-    """Runs one proxy."""
+    """Runs one proxy and returns the exit status: 2 for a faulty configuration, 1 if it cannot listen."""
     try:
         config = load(os.environ)
     except ConfigError as error:
@@ -42,9 +44,9 @@
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     host = Host(config, loop)
-    if config.accept_fd is not None:  # another process may be serving, and one may come after this
-        host.handover = Succession(host, tempfile.gettempdir(), config.name)
-    loop.add_signal_handler(signal.SIGHUP, on_hangup, host)
+    if config.accept_fd is not None:  # another process may be serving, and a successor may follow
+        host.handover = Handover(host, tempfile.gettempdir(), config.name)
+    loop.add_signal_handler(signal.SIGHUP, on_sighup, host)
     loop.add_signal_handler(signal.SIGTERM, host.stop)
     loop.add_signal_handler(signal.SIGINT, host.stop)
     try:
--- a/notchflow/net/request_head.py
+++ b/notchflow/net/request_head.py
@@ -1,28 +1,33 @@
-"""A request's head, read: its target, and the figures among its fields."""
+"""Parses parts of a request head: the target, and numbers in header fields."""
 
 from __future__ import annotations
 
 import math
 import re
 
-# A target that every reader takes for the same, as nearly all are; others are looked at more closely.
-PLAIN = re.compile(rb"/api/(?:[A-Za-z0-9_~-]+/)*([A-Za-z0-9_~-]+)")
-DOTS = frozenset({b".", b".."})
+# Matches targets that every parser interprets in the same way, as nearly all are; others are checked by
+# is_unambiguous_target().
+PLAIN_TARGET = re.compile(rb"/api/(?:[A-Za-z0-9_~-]+/)*([A-Za-z0-9_~-]+)")
+DOT_SEGMENTS = frozenset({b".", b".."})
 
 
-def readable(url: bytes) -> bool:
-    """Whether every reader takes a target for the same: a box may resolve dot segments, escaped or not, and
-    a path that leaves its prefix is none of ours; only printable ASCII is in a target (RFC 3986)."""
+def is_unambiguous_target(url: bytes) -> bool:
+    """Returns whether every parser interprets a target in the same way.
+
+    A node may resolve dot segments, escaped or not, and a path that leaves its prefix is not to be forwarded.
+    A target consists of printable ASCII only (RFC 3986).
+    """
     if not url.isascii() or b"#" in url or b"\\" in url:
         return False
     path = url.partition(b"?")[0]
     if b"%2" in path:
         path = path.replace(b"%2e", b".").replace(b"%2E", b".").replace(b"%2f", b"/").replace(b"%2F", b"/")
-    return b"/." not in path or not DOTS.intersection(path.split(b"/"))
+    return b"/." not in path or not DOT_SEGMENTS.intersection(path.split(b"/"))
 
 
-def number_of(fields: dict[bytes, bytes], name: bytes, factor: float) -> float | None:
-    """A finite number of a header, if it is there."""
+def parse_number_header(fields: dict[bytes, bytes], name: bytes, factor: float) -> float | None:
+    """Returns a finite number from a header field, times `factor`, or None if the field is absent. A
+    ValueError says that it is not a finite number."""
     raw = fields.get(name)
     if raw is None:
         return None
@@ -32,8 +37,8 @@
     return value
 
 
-def info_size(info: bytes) -> float | None:
-    """The value's size among the further figures of a request."""
+def parse_info_size(info: bytes) -> float | None:
+    """Returns the size of the value from the X-Call-Info field, or None."""
     for pair in info.split(b","):
         name, _, value = pair.partition(b"=")
         if name.strip() == b"size":
--- a/notchflow/net/request_reader.py
+++ b/notchflow/net/request_reader.py
@@ -1,4 +1,5 @@
-"""A client's bytes as they come in: parsed to requests, with bounds on heads, framing, bodies and time."""
+"""Reads requests from a client connection and bounds the size of heads, framing and bodies, and the time they
+take."""
 
 from __future__ import annotations
 
@@ -13,18 +14,21 @@
 
 log = logging.getLogger(__name__)
 
-HEAD_MAX = 32 << 10
-BODY_MAX = 32 << 20
-FLOW_FROM = 256 << 10  # a longer body goes on to a box as it comes, and is held as far as memory allows
+MAX_HEAD_BYTES = 32 << 10
+MAX_BODY_BYTES = 32 << 20
+# a longer body is streamed to a node as it arrives, and buffered as far as memory allows
+STREAM_BODY_BYTES = 256 << 10
 MAX_PIPELINED = 16
-# By when a request must have come whole: who says nothing, or half, keeps no descriptor. A head may take
-# 2 s; a body has as long as it needs at half the rate of the slowest clients, by what has come of it.
-ARRIVE_MS, BODY_RATE = 2_300.0, 32.0  # bytes a millisecond
-SLICE = 8 << 10  # a longer read is parsed in such pieces, so that the bounds on framing hold within it
-FIELDS_MAX = 256
-FRAMING_MAX, FRAMING_CHUNK = 4 << 10, 32  # bytes of a chunked body that are no body: in all, and a chunk
-JOIN_BELOW = 1 << 10  # bytes: smaller pieces of a body are put together, as each costs memory of its own
-READ = frozenset(
+# A request must arrive within these bounds, so that clients that send nothing or half a request hold no
+# descriptor. A head may take 2 s; a body may arrive at half the rate of the slowest clients, judged by the
+# bytes received so far.
+HEAD_TIMEOUT_MS, MIN_BODY_BYTES_PER_MS = 2_300.0, 32.0
+PARSE_SLICE_BYTES = 8 << 10  # a longer read is parsed in slices, so that the bounds on framing hold within it
+MAX_FIELDS = 256
+# bytes of a chunked body that are not content: in all, and for each chunk
+MAX_FRAMING_BYTES, FRAMING_BYTES_PER_CHUNK = 4 << 10, 32
+JOIN_BELOW_BYTES = 1 << 10  # smaller parts of a body are joined, as each bytes object has a memory overhead
+PARSED_HEADERS = frozenset(
     {
         b"x-call-id",
         b"x-call-class",
@@ -38,17 +42,22 @@
         b"host",
     }
 )
-REPLACED = frozenset({b"x-budget", b"expect"})
-# Two of these can be read either way: as one request here, as another at the box.
-SINGLE = frozenset({b"x-call-id", b"idempotency-key", b"host"})
-# A sender may name in Connection what is meant for this hop alone. These are meant for the end: without its
-# X-Call-Id or Idempotency-Key a box could not tell a repeat, and an effect would happen twice.
-END_TO_END = READ | {b"authorization", b"content-type", b"content-encoding", b"cache-control"}
-FRAMING = frozenset({b"connection", b"transfer-encoding"})
-
-
-class Entrance(Protocol):
-    """The listener's side, as its clients' connections see it."""
+REPLACED_HEADERS = frozenset({b"x-budget", b"expect"})
+# A repeated field is ambiguous: the proxy might use one value and the node the other.
+SINGLETON_HEADERS = frozenset({b"x-call-id", b"idempotency-key", b"host"})
+# A client may list hop-by-hop fields in Connection. These fields are end-to-end and stay: without X-Call-Id
+# or Idempotency-Key a node could not recognise a repeat, and an effect would happen twice.
+END_TO_END_HEADERS = PARSED_HEADERS | {
+    b"authorization",
+    b"content-type",
+    b"content-encoding",
+    b"cache-control",
+}
+FRAMING_HEADERS = frozenset({b"connection", b"transfer-encoding"})
+
+
+class ConnectionOwner(Protocol):
+    """What a client connection needs of the frontend that accepted it."""
 
     host: ClientHost
     door: Gateway | None
@@ -56,12 +65,12 @@
     idle: dict[Any, None]
     lingering: dict[Any, None]
 
-    def lost(self, client: Any) -> None:
-        """A client's connection has ended."""
+    def connection_closed(self, client: Any) -> None:
+        """Forgets a client connection that has closed."""
 
 
 class RequestReader(asyncio.Protocol):
-    """A client's connection as far as it is read: `waiting` holds the requests that have come."""
+    """The reading half of a client connection: parses requests into the queue `queued`."""
 
     __slots__ = (
         "frontend",
@@ -71,311 +80,327 @@
         "arriving",
         "in_head",
         "head_size",
-        "waiting",
+        "queued",
         "current",
         "closing",
         "active_at",
-        "due_since",
-        "framing",
-        "chunks",
+        "request_due_since",
+        "framing_bytes",
+        "chunk_count",
         "pipeline_full",
         "body_paused_at",
         "read_limit_reached",
-        "lags",
+        "was_paused",
         "unsent_pieces",
     )
 
-    def __init__(self, frontend: Entrance) -> None:
+    def __init__(self, frontend: ConnectionOwner) -> None:
         self.frontend = frontend
         self.host = frontend.host
         self.transport: asyncio.Transport | None = None
         self.parser: HttpRequestParser | None = None
         self.arriving: ClientRequest | None = None
         self.in_head = False
-        self.head_size = self.framing = self.chunks = 0
-        self.waiting: deque[ClientRequest] = deque()
+        self.head_size = self.framing_bytes = self.chunk_count = 0
+        self.queued: deque[ClientRequest] = deque()
         self.current: ClientRequest | None = None
-        self.pipeline_full = False  # nothing is read until what waits is fewer
-        self.body_paused_at: float | None = None  # since then no more of a body is wanted
-        self.read_limit_reached = False  # enough of a body was read in this turn of the loop
-        self.lags = False  # reading has stopped before: an end may lie unread behind what is read
-        self.unsent_pieces: list[bytes] = []  # of a body that flows, read but not passed on yet
+        self.pipeline_full = False  # reading pauses until the queue is shorter
+        self.body_paused_at: float | None = None  # since when no more of the body is wanted
+        self.read_limit_reached = False  # reading pauses until the next turn of the loop
+        self.was_paused = False  # reading was paused before, so an end of file may be unread
+        self.unsent_pieces: list[bytes] = []  # parts of a streamed body that are not forwarded yet
         self.closing = False
         self.active_at = 0.0
-        self.due_since: float | None = None  # a request is due: the first, or one that has begun to come
+        # when the current wait for a request began: for the first one, or for one that has begun to arrive
+        self.request_due_since: float | None = None
 
-    # -- what the client's side makes of it
-    def _call(self) -> ClientRequest:
-        """A request that begins to come."""
+    # -- implemented by ClientConnection
+    def _new_request(self) -> ClientRequest:
+        """Returns a new request, whose first bytes have arrived."""
         raise NotImplementedError
 
-    def _step(self) -> None:
-        """Takes up what waits, if nothing is in hand."""
+    def _start_next(self) -> None:
+        """Starts the next queued request, if none is in progress."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Ends the connection once what was written has gone."""
+        """Closes the connection once everything written has been sent."""
         raise NotImplementedError
 
-    def fail(self, call: ClientRequest, status: int) -> None:
-        """Failed, with no promise."""
+    def fail(self, request: ClientRequest, status: int) -> None:
+        """Answers that the request failed, which leaves open whether it ran."""
         raise NotImplementedError
 
-    # -- bytes
+    # -- input
     def data_received(self, data: bytes) -> None:
-        """Bytes have come: parses them, then takes up the next request."""
+        """asyncio: bytes have arrived. Parses them, then starts the next request."""
         self.active_at = self.host.clock.loop_time()
         if self.closing or self.parser is None:
-            return  # what follows a fault is read and dropped, so that its answer is not lost to a reset
+            return  # input after an error is read and dropped, so that no reset destroys the response
         self.frontend.idle.pop(self, None)
-        if len(data) <= SLICE:
-            self._feed(data)
+        if len(data) <= PARSE_SLICE_BYTES:
+            self._parse(data)
         else:
-            for at in range(0, len(data), SLICE):
+            for at in range(0, len(data), PARSE_SLICE_BYTES):
                 if not self.closing:
-                    self._feed(data[at : at + SLICE])
+                    self._parse(data[at : at + PARSE_SLICE_BYTES])
         if self.arriving is not None and self.arriving.streams_body:
-            self._pass_pieces(self.arriving)
-            if len(data) > SLICE:
-                self._end_turn()
-        self._step()
-        if self.current is None and self.arriving is None and not self.waiting and not self.closing:
-            self.frontend.idle[self] = None  # the rest of what was answered already has come
-
-    def _feed(self, data: bytes) -> None:
+            self._forward_parts(self.arriving)
+            if len(data) > PARSE_SLICE_BYTES:
+                self._pause_until_next_turn()
+        self._start_next()
+        if self.current is None and self.arriving is None and not self.queued and not self.closing:
+            self.frontend.idle[self] = None  # the rest of a request that was already answered has arrived
+
+    def _parse(self, data: bytes) -> None:
         if self.parser is None:
             return
-        call = self.arriving
-        before = call.body_size if call is not None else 0
+        request = self.arriving
+        before = request.body_size if request is not None else 0
         try:
             self.parser.feed_data(data)
         except HttpParserUpgrade:
-            self.closing = True  # the request stands, in plain HTTP; what follows it cannot be read
+            self.closing = True  # the request itself is valid HTTP/1.1; what follows it cannot be parsed
         except HttpParserError as error:
-            self._fault(400, f"malformed request: {error}")
+            self._reject(400, f"malformed request: {error}")
         if self.in_head:
             self.head_size += len(data)
-            if self.head_size >= HEAD_MAX:
-                self._fault(431, f"a head of over {HEAD_MAX} bytes")
-        elif call is not None and call is self.arriving:  # in the midst of a body
-            self.framing += len(data) - (call.body_size - before)
-            if self.framing > FRAMING_MAX + FRAMING_CHUNK * self.chunks:
-                self._fault(400, "more framing than body")
-
-    # -- the parser's callbacks
+            if self.head_size >= MAX_HEAD_BYTES:
+                self._reject(431, f"head larger than {MAX_HEAD_BYTES} bytes")
+        elif request is not None and request is self.arriving:  # within a body
+            self.framing_bytes += len(data) - (request.body_size - before)
+            if self.framing_bytes > MAX_FRAMING_BYTES + FRAMING_BYTES_PER_CHUNK * self.chunk_count:
+                self._reject(400, "more framing than content")
+
+    # -- parser callbacks
     def on_message_begin(self) -> None:
         """Parser: a request begins."""
-        self.arriving = self._call()
-        self.in_head, self.head_size, self.framing, self.chunks = True, 0, 0, 0
-        self.due_since = self.active_at
+        self.arriving = self._new_request()
+        self.in_head, self.head_size, self.framing_bytes, self.chunk_count = True, 0, 0, 0
+        self.request_due_since = self.active_at
 
     def on_url(self, url: bytes) -> None:
-        """Parser: a part of the target."""
+        """Parser: a part of the request target."""
         if self.arriving is not None:
             self.arriving.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser: a field of the head, or a trailer."""
-        call, low = self.arriving, name.lower()
-        if call is None or not self.in_head:
-            return  # trailers
-        if low in READ:
-            if low in SINGLE and low in call.headers:
-                call.error_status = 400
-            call.headers[low] = value
-            if low in REPLACED:
+        """Parser: a header or a trailer field."""
+        request, lower_name = self.arriving, name.lower()
+        if request is None or not self.in_head:
+            return  # a trailer field
+        if lower_name in PARSED_HEADERS:
+            if lower_name in SINGLETON_HEADERS and lower_name in request.headers:
+                request.error_status = 400
+            request.headers[lower_name] = value
+            if lower_name in REPLACED_HEADERS:
                 return
-        elif low in HOP_BY_HOP:
-            call.headers[low] = b"%b, %b" % (call.headers[low], value) if low in call.headers else value
+        elif lower_name in HOP_BY_HOP:
+            request.headers[lower_name] = (
+                b"%b, %b" % (request.headers[lower_name], value) if lower_name in request.headers else value
+            )
             return
-        call.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
+        request.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """Parser: the head is whole."""
-        call, parser = self.arriving, self.parser
-        if call is None or parser is None:
+        """Parser: the head is complete."""
+        request, parser = self.arriving, self.parser
+        if request is None or parser is None:
             return
         self.in_head = False
-        call.method = parser.get_method()
-        call.chunks_allowed = parser.get_http_version() == "1.1"
-        call.keep_alive = call.chunks_allowed and parser.should_keep_alive()
-        if not FRAMING.isdisjoint(call.headers) and not self._framed(call):
+        request.method = parser.get_method()
+        request.chunks_allowed = parser.get_http_version() == "1.1"
+        request.keep_alive = request.chunks_allowed and parser.should_keep_alive()
+        if not FRAMING_HEADERS.isdisjoint(request.headers) and not self._check_framing(request):
             return
-        if len(call.forwarded_headers) > FIELDS_MAX:
-            self._fault(431, f"over {FIELDS_MAX} fields")
+        if len(request.forwarded_headers) > MAX_FIELDS:
+            self._reject(431, f"more than {MAX_FIELDS} header fields")
             return
-        if self.frontend.door is not None and not call.error_status:
-            self.frontend.door.head(call)
-        if int(call.headers.get(b"content-length", 0)) > BODY_MAX:
-            self._fault(413, f"a body of over {BODY_MAX} bytes")
-        elif b"expect" in call.headers:
-            self._expected(call)
-
-    def _framed(self, call: ClientRequest) -> bool:
-        """What the head says of the connection and the coding; false where that is a fault."""
-        named = call.headers.get(b"connection")
+        if self.frontend.door is not None and not request.error_status:
+            self.frontend.door.head(request)
+        if int(request.headers.get(b"content-length", 0)) > MAX_BODY_BYTES:
+            self._reject(413, f"body larger than {MAX_BODY_BYTES} bytes")
+        elif b"expect" in request.headers:
+            self._handle_expect(request)
+
+    def _check_framing(self, request: ClientRequest) -> bool:
+        """Evaluates Connection and Transfer-Encoding. Returns false where the coding is not supported."""
+        named = request.headers.get(b"connection")
         if named is not None and b"," in named or named and named.lower() not in (b"keep-alive", b"close"):
-            tokens = {t.strip().lower() for t in named.split(b",")} - END_TO_END
+            tokens = {t.strip().lower() for t in named.split(b",")} - END_TO_END_HEADERS
             drop = tuple(t + b":" for t in tokens if t)
-            call.forwarded_headers = [
-                line for line in call.forwarded_headers if not line.lower().startswith(drop)
+            request.forwarded_headers = [
+                line for line in request.forwarded_headers if not line.lower().startswith(drop)
             ]
-        coding = call.headers.get(b"transfer-encoding")
+        coding = request.headers.get(b"transfer-encoding")
         if coding is not None and coding.strip().lower() != b"chunked":
-            self._fault(501, f"the coding {coding!r:.60}")  # the box would be told of none
+            # The node would not be told of the coding.
+            self._reject(501, f"unsupported transfer coding {coding!r:.60}")
             return False
         return True
 
-    def _expected(self, call: ClientRequest) -> None:
-        """The client waits with the body."""
-        if call.local_reply is not None:
-            self._fault(call.local_reply.status, "turned away before its body")  # it may as well keep it
-        elif call.headers[b"expect"].lower() == b"100-continue":
-            if self.current is None and not self.waiting and self.transport is not None:
+    def _handle_expect(self, request: ClientRequest) -> None:
+        """Handles Expect: 100-continue: asks for the body, or rejects the request before it is sent."""
+        if request.local_reply is not None:
+            # The client need not send the body.
+            self._reject(request.local_reply.status, "rejected before its body was sent")
+        elif request.headers[b"expect"].lower() == b"100-continue":
+            if self.current is None and not self.queued and self.transport is not None:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
         """Parser: a part of the body."""
-        call = self.arriving
-        if call is None:
+        request = self.arriving
+        if request is None:
             return
-        call.body_size += len(data)
-        if call.body_size > BODY_MAX:
-            self._fault(413, f"a body of over {BODY_MAX} bytes")
-        elif call.drop_body:
+        request.body_size += len(data)
+        if request.body_size > MAX_BODY_BYTES:
+            self._reject(413, f"body larger than {MAX_BODY_BYTES} bytes")
+        elif request.drop_body:
             return
-        elif call.streams_body or self._flows(call, len(data)):
-            self._flow(call, data)
-        elif call.local_reply is None and not call.body_not_held:
+        elif request.streams_body or self._should_stream(request, len(data)):
+            self._stream_body(request, data)
+        elif request.local_reply is None and not request.body_not_held:
             full = self.host.buffered_bytes + len(data) > self.host.buffer_limit
-            if full or (call.ticket is not None and not call.ticket.charge(len(data))):
-                call.body_not_held = True
-                call.release_body()
+            if full or (request.ticket is not None and not request.ticket.charge(len(data))):
+                request.body_not_held = True
+                request.release_body()
             else:
                 self.host.buffered_bytes += len(data)
-                call.charged_bytes += len(data)
-                if call.body and len(data) < JOIN_BELOW and len(call.body[-1]) < JOIN_BELOW:
-                    call.body[-1] += data
+                request.charged_bytes += len(data)
+                if request.body and len(data) < JOIN_BELOW_BYTES and len(request.body[-1]) < JOIN_BELOW_BYTES:
+                    request.body[-1] += data
                 else:
-                    call.body.append(data)
-
-    def _flows(self, call: ClientRequest, size: int) -> bool:
-        """Whether this body is to go on as it comes, from now on."""
-        if self.frontend.door is not None or call.method != b"PUT" or call.error_status or call.body_not_held:
+                    request.body.append(data)
+
+    def _should_stream(self, request: ClientRequest, size: int) -> bool:
+        """Decides whether the body is streamed to the node from here on."""
+        if (
+            self.frontend.door is not None
+            or request.method != b"PUT"
+            or request.error_status
+            or request.body_not_held
+        ):
             return False
-        short = self.host.buffered_bytes + size > self.host.buffer_limit
-        if call.body_size > FLOW_FROM or short and int(call.headers.get(b"content-length", 0)) > FLOW_FROM:
-            call.streams_body = True
-            self.waiting.append(call)
-        return call.streams_body
-
-    def _flow(self, call: ClientRequest, data: bytes) -> None:
-        """A piece of a body that goes on as it comes. It is held too, so that another box can be given all of
-        it, as long as there is memory; else what comes waits until a box is reading."""
-        host, item = self.host, call.active
-        if not call.body_start_dropped:
+        over_limit = self.host.buffered_bytes + size > self.host.buffer_limit
+        if (
+            request.body_size > STREAM_BODY_BYTES
+            or over_limit
+            and int(request.headers.get(b"content-length", 0)) > STREAM_BODY_BYTES
+        ):
+            request.streams_body = True
+            self.queued.append(request)
+        return request.streams_body
+
+    def _stream_body(self, request: ClientRequest, data: bytes) -> None:
+        """Takes a part of a streamed body. It is also buffered while memory allows, so that the whole body
+        can be sent to another node; beyond that, reading pauses until a node reads."""
+        host, active = self.host, request.active
+        if not request.body_start_dropped:
             host.buffered_bytes += len(data)
-            call.charged_bytes += len(data)
-            call.body.append(data)
-        if item is not None:
+            request.charged_bytes += len(data)
+            request.body.append(data)
+        if active is not None:
             self.unsent_pieces.append(data)
-        if not call.body_start_dropped and host.buffered_bytes > host.buffer_limit:
-            if item is not None and host.try_discard_body(item):
-                self._pass_pieces(call)
-                call.body_start_dropped = True
-                call.release_body()
+        if not request.body_start_dropped and host.buffered_bytes > host.buffer_limit:
+            if active is not None and host.try_discard_body(active):
+                self._forward_parts(request)
+                request.body_start_dropped = True
+                request.release_body()
             else:
                 self.set_body_wanted(False)
 
-    def _pass_pieces(self, call: ClientRequest) -> None:
-        """Passes on what was read, in one write."""
+    def _forward_parts(self, request: ClientRequest) -> None:
+        """Forwards the parts read so far in one write."""
         pieces, self.unsent_pieces = self.unsent_pieces, []
-        if pieces and call.active is not None:
-            self.host.body_received(call.active, pieces)
+        if pieces and request.active is not None:
+            self.host.body_received(request.active, pieces)
 
-    def _end_turn(self) -> None:
-        """Leaves the rest of a body for the next turn of the loop, which else reads a socket up to 32 times
-        over while there is more, 8 MiB, and all other clients wait for so long."""
+    def _pause_until_next_turn(self) -> None:
+        """Leaves the rest of a body for the next turn of the loop. Otherwise the loop reads a socket that has
+        more data up to 32 times in a row, 8 MiB, while all other clients wait."""
         if not self.read_limit_reached:
             self.read_limit_reached = True
-            self._read_on(False)
-            self.host.call_soon(self._next_turn, None)
+            self._set_reading(False)
+            self.host.call_soon(self._resume_next_turn, None)
 
-    def _next_turn(self, _: object = None) -> None:
+    def _resume_next_turn(self, _: object = None) -> None:
         self.read_limit_reached = False
-        self._read_on(True)
+        self._set_reading(True)
 
     def set_body_wanted(self, on: bool) -> None:
-        """Whether more of the body that is arriving is wanted now; else the client's time stands still."""
+        """Resumes or pauses reading the body. While it is paused, the time limit for the client does not
+        run."""
         if on is (self.body_paused_at is None) or self.transport is None or self.transport.is_closing():
             return
         now = self.host.clock.now()
         if on:
             assert self.body_paused_at is not None
-            if self.due_since is not None:
-                self.due_since += now - self.body_paused_at
+            if self.request_due_since is not None:
+                self.request_due_since += now - self.body_paused_at
             self.body_paused_at, self.active_at = None, now
         else:
             self.body_paused_at = now
-        self._read_on(on)
+        self._set_reading(on)
 
-    def _read_on(self, on: bool) -> None:
+    def _set_reading(self, on: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         if not on:
-            self.lags = True
+            self.was_paused = True
             self.transport.pause_reading()
         elif not self.pipeline_full and self.body_paused_at is None and not self.read_limit_reached:
             self.transport.resume_reading()
 
     def on_chunk_header(self) -> None:
-        """Parser: a chunk begins; chunks are counted for the bound on framing."""
-        self.chunks += 1
+        """Parser: a chunk begins. Chunks are counted for the bound on framing."""
+        self.chunk_count += 1
 
     def on_message_complete(self) -> None:
-        """Parser: the request is whole."""
-        call, self.arriving = self.arriving, None
-        self.due_since = None
-        if call is None:
+        """Parser: the request is complete."""
+        request, self.arriving = self.arriving, None
+        self.request_due_since = None
+        if request is None:
             return
-        call.arrived_at = self.active_at
-        call.earliest_arrival_at = self.host.stalls.earliest_arrival(self.active_at)
-        if call.streams_body:
-            self._pass_pieces(call)
-            call.body_complete = True
+        request.arrived_at = self.active_at
+        request.earliest_arrival_at = self.host.stalls.earliest_arrival(self.active_at)
+        if request.streams_body:
+            self._forward_parts(request)
+            request.body_complete = True
             self.set_body_wanted(True)
-            if call.drop_body and not call.keep_alive:
+            if request.drop_body and not request.keep_alive:
                 self.close()
-            if call.active is not None:
-                self.host.finish_body(call.active)
+            if request.active is not None:
+                self.host.finish_body(request.active)
             return
-        if call.body_size or call.method == b"PUT":
-            call.forwarded_headers.append(b"Content-Length: %d\r\n" % call.body_size)
-        self.waiting.append(call)
-        if len(self.waiting) >= MAX_PIPELINED and self.transport is not None:
+        if request.body_size or request.method == b"PUT":
+            request.forwarded_headers.append(b"Content-Length: %d\r\n" % request.body_size)
+        self.queued.append(request)
+        if len(self.queued) >= MAX_PIPELINED and self.transport is not None:
             self.pipeline_full = True
-            self._read_on(False)
+            self._set_reading(False)
 
-    def _fault(self, status: int, why: str) -> None:
-        """What comes is no request that can be answered otherwise; nothing after it can be read."""
+    def _reject(self, status: int, reason: str) -> None:
+        """Rejects input that cannot be handled as a request. The framing of what follows is unknown, so
+        nothing after it is parsed."""
         if self.closing:
             return
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
-        log.info("a client's connection ends with %d: %s, from %s", status, why, peer)
+        log.info("a client's connection ends with %d: %s, from %s", status, reason, peer)
         self.closing = True
-        call = self.arriving or self._call()
+        request = self.arriving or self._new_request()
         self.arriving, self.in_head = None, False
-        if call is self.current:  # its body was on the way to a box: that is over, and not whole
-            call.error_status, call.keep_alive, item = status, False, call.active
-            if item is not None:
-                self.host.client_gone(item)
-            self.fail(call, status)
+        if request is self.current:  # its body was being streamed to a node, and will stay incomplete
+            request.error_status, request.keep_alive, active = status, False, request.active
+            if active is not None:
+                self.host.client_gone(active)
+            self.fail(request, status)
             return
-        if call in self.waiting:
-            self.waiting.remove(call)
-        call.release_body()
-        call.error_status, call.keep_alive = status, False
-        if call.drop_body:
+        if request in self.queued:
+            self.queued.remove(request)
+        request.release_body()
+        request.error_status, request.keep_alive = status, False
+        if request.drop_body:
             self.close()
             return
-        self.waiting.append(call)
+        self.queued.append(request)
--- a/notchflow/operations/__init__.py
+++ b/notchflow/operations/__init__.py
@@ -1,1 +1,1 @@
-"""What operators do with a running proxy, as state machines that know neither sockets nor a clock."""
+"""Operator functions of a running proxy, as state machines without sockets and without a clock."""
--- a/notchflow/operations/handover.py
+++ b/notchflow/operations/handover.py
@@ -1,7 +1,9 @@
-"""What one process tells the one that takes its place: the frame it comes in, and the part each may use.
+"""The frames in which a process hands its state over to its successor, and each one's part of the common
+limits.
 
-A frame is `NFHO`, the format's number and the length of what follows (32-bit numbers, most significant byte
-first), then JSON. It is taken whole or not at all: half of what was learned would mislead more than none.
+A frame is `NFHO`, the number of the format and the length of the payload (32-bit numbers, most significant
+byte first), then JSON. It is applied as a whole or not at all: half of the learned state would mislead the
+policy more than none.
 """
 
 from __future__ import annotations
@@ -10,48 +12,49 @@
 import struct
 from typing import Any, Final
 
-HEAD: Final = struct.Struct(">4sII")
+HEADER: Final = struct.Struct(">4sII")
 MAGIC: Final = b"NFHO"
-FORMAT: Final = 1
-LEAST: Final = 0.2  # of a limit: a process can do something, whatever the others use
-LENGTH_MAX: Final = 8 << 20  # bytes: ten thousand boxes and all keys remembered stay far below
+FORMAT_VERSION: Final = 1
+MIN_LIMIT_SHARE: Final = 0.2  # of a limit: the part that each process has, whatever the others use
+MAX_FRAME_LENGTH: Final = 8 << 20  # bytes: ten thousand nodes and all remembered keys stay far below
 
 
 class HandoverError(Exception):
-    """What came is no frame of this format; the text says why."""
+    """The input is not a frame of this format; the text says why."""
 
 
-def pack(state: dict[str, Any]) -> bytes:
-    """A frame."""
+def encode_frame(state: dict[str, Any]) -> bytes:
+    """Returns a frame that contains this state."""
     data = json.dumps(state, separators=(",", ":")).encode()
-    return HEAD.pack(MAGIC, FORMAT, len(data)) + data
+    return HEADER.pack(MAGIC, FORMAT_VERSION, len(data)) + data
 
 
-class Reader:
-    """Takes frames from what comes, in pieces of any size."""
+class FrameReader:
+    """Reassembles frames from input in pieces of any size."""
 
-    __slots__ = ("held",)
+    __slots__ = ("buffer",)
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """What came whole with this piece."""
-        self.held += data
-        whole = []
-        while len(self.held) >= HEAD.size:
-            magic, number, length = HEAD.unpack_from(self.held)
+        """Returns the frames that are complete with this input. A HandoverError says that the input is
+        malformed."""
+        self.buffer += data
+        frames = []
+        while len(self.buffer) >= HEADER.size:
+            magic, number, length = HEADER.unpack_from(self.buffer)
             if magic != MAGIC:
-                raise HandoverError("not a handover")
-            if number != FORMAT:
-                raise HandoverError(f"format {number}, and this program reads {FORMAT}")
-            if length > LENGTH_MAX:
-                raise HandoverError(f"{length} bytes, and {LENGTH_MAX} are the most")
-            if len(self.held) < HEAD.size + length:
+                raise HandoverError("not a handover frame")
+            if number != FORMAT_VERSION:
+                raise HandoverError(f"format {number}, expected {FORMAT_VERSION}")
+            if length > MAX_FRAME_LENGTH:
+                raise HandoverError(f"{length} bytes, at most {MAX_FRAME_LENGTH} are allowed")
+            if len(self.buffer) < HEADER.size + length:
                 break
-            whole.append(_decode(bytes(self.held[HEAD.size : HEAD.size + length])))
-            del self.held[: HEAD.size + length]
-        return whole
+            frames.append(_decode(bytes(self.buffer[HEADER.size : HEADER.size + length])))
+            del self.buffer[: HEADER.size + length]
+        return frames
 
 
 def _decode(data: bytes) -> dict[str, Any]:
@@ -60,47 +63,52 @@
     except (ValueError, RecursionError) as error:
         raise HandoverError(f"not JSON ({error})") from None
     if not isinstance(state, dict):
-        raise HandoverError("not an object")
+        raise HandoverError("not a JSON object")
     return state
 
 
-class Shares:
-    """How much of the platform's limits, which hold for all processes of a proxy together, is this one's:
-    what others do not use, as they last told. A fixed half was too little for the one that has the clients:
-    it closed some to make room for others, and those came back at once."""
+class LimitShares:
+    """Divides the platform's limits, which hold for all processes of a proxy together: this process may use
+    what the others do not, by their latest reports.
 
-    __slots__ = ("used",)
+    A fixed half was too little for the process that has the clients: it closed some connections to make room
+    for others, and those clients reconnected at once.
+    """
+
+    __slots__ = ("usage",)
 
     def __init__(self) -> None:
-        self.used: dict[object, tuple[float, float] | None] = {}  # by process; none: it has not told yet
-
-    def joined(self, who: object) -> None:
-        """Another process runs beside this one."""
-        self.used[who] = None
-
-    def told(self, who: object, descriptors: float, held: float) -> None:
-        """What it uses now: descriptors, and bytes held."""
-        if who in self.used:
-            self.used[who] = max(descriptors, 0.0), max(held, 0.0)
-
-    def moved(self, who: object, descriptors: int) -> None:
-        """Connections passed to it or, where negative, came from it: what it told is older than that."""
-        used = self.used.get(who)
-        if used is not None:
-            self.used[who] = max(used[0] + descriptors, 0.0), used[1]
-
-    def left(self, who: object) -> None:
-        """It has ended."""
-        self.used.pop(who, None)
-
-    def descriptors(self, whole: int) -> int:
-        """This process's part of the descriptors."""
-        return int(self._left(whole, 0))
-
-    def held(self, whole: float) -> float:
-        """This process's part of the bytes that may be held."""
-        return self._left(whole, 1)
-
-    def _left(self, whole: float, which: int) -> float:
-        others = sum(whole / 2 if used is None else used[which] for used in self.used.values())
-        return max(whole - others, whole * LEAST)
+        # descriptors and bytes by process; None before its first report
+        self.usage: dict[object, tuple[float, float] | None] = {}
+
+    def add_process(self, process: object) -> None:
+        """Adds a process that runs beside this one."""
+        self.usage[process] = None
+
+    def record_usage(self, process: object, descriptors: float, held: float) -> None:
+        """Stores the usage that a process reported: descriptors, and buffered bytes."""
+        if process in self.usage:
+            self.usage[process] = max(descriptors, 0.0), max(held, 0.0)
+
+    def record_transfer(self, process: object, descriptors: int) -> None:
+        """Counts descriptors handed over to a process or, if negative, received from it, as its latest report
+        is older."""
+        reported = self.usage.get(process)
+        if reported is not None:
+            self.usage[process] = max(reported[0] + descriptors, 0.0), reported[1]
+
+    def remove_process(self, process: object) -> None:
+        """Removes a process that has ended."""
+        self.usage.pop(process, None)
+
+    def descriptor_limit(self, total: int) -> int:
+        """Returns the number of descriptors that this process may use."""
+        return int(self._remainder(total, 0))
+
+    def buffer_limit(self, total: float) -> float:
+        """Returns the number of bytes that this process may buffer."""
+        return self._remainder(total, 1)
+
+    def _remainder(self, total: float, index: int) -> float:
+        others = sum(total / 2 if used is None else used[index] for used in self.usage.values())
+        return max(total - others, total * MIN_LIMIT_SHARE)
--- a/notchflow/operations/key_paths.py
+++ b/notchflow/operations/key_paths.py
@@ -1,6 +1,7 @@
-"""Which keys a configuration file has: a file that lacks one which the running file has is not whole.
+"""The key paths of a configuration file: a file that lacks one of the running file's keys is incomplete.
 
-Defaults would hide that an editor cut a file off, and the proxy would go on with limits that nobody wrote.
+Defaults would hide that an editor truncated a file, and the proxy would go on with limits that nobody
+configured.
 """
 
 from __future__ import annotations
@@ -9,22 +10,23 @@
 from functools import reduce
 from typing import Any
 
-Shape = frozenset[str]  # paths, as in `settings.Limits.MaxAttempts` or `settings.Classes[].Name`
+KeyPaths = frozenset[str]  # paths such as `settings.Limits.MaxAttempts` or `settings.Classes[].Name`
 TABLES = ("settings", "limits")
 
 
-def shape_of(data: object) -> Shape:
-    """The paths of a file: its keys, those of its tables, and what all `Classes` have in common."""
+def collect_key_paths(data: object) -> KeyPaths:
+    """Returns the paths of a file: its keys, those of its tables, and those that all `Classes` have in
+    common."""
     if not isinstance(data, Mapping):
         return frozenset()
     paths = {str(key) for key in data}
     for table in TABLES:
         if isinstance(data.get(table), Mapping):
-            paths |= _table(table, data[table])
+            paths |= _table_paths(table, data[table])
     return frozenset(paths)
 
 
-def _table(name: str, data: Mapping[str, Any]) -> set[str]:
+def _table_paths(name: str, data: Mapping[str, Any]) -> set[str]:
     paths = set()
     for key, value in data.items():
         paths.add(f"{name}.{key}")
@@ -37,6 +39,6 @@
     return paths
 
 
-def missing(running: Shape, data: object) -> list[str]:
-    """The paths of the running file that another file lacks, in order."""
-    return sorted(running - shape_of(data))
+def missing_key_paths(running: KeyPaths, data: object) -> list[str]:
+    """Returns the paths of the running file that another file lacks, sorted."""
+    return sorted(running - collect_key_paths(data))
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -1,4 +1,4 @@
-"""What passes from one process to the next, and that no client notices."""
+"""The state that passes from one process to the next, without an effect on clients."""
 
 from __future__ import annotations
 
@@ -14,20 +14,28 @@
 import pytest
 
 from notchflow.interface import Outcome, RequestClass, State, Status
-from notchflow.net.handover import Link, Place, Succession
+from notchflow.net.handover import Handover, HandoverLink, HandoverSocket
 from notchflow.net.host import Host
 from notchflow.net.node_list import node_id
-from notchflow.operations.handover import FORMAT, HEAD, MAGIC, HandoverError, Reader, Shares, pack
+from notchflow.operations.handover import (
+    FORMAT_VERSION,
+    HEADER,
+    MAGIC,
+    FrameReader,
+    HandoverError,
+    LimitShares,
+    encode_frame,
+)
 from tests.helpers import make_balancer, make_request, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
 
 ANY = ("127.0.0.1", 0)
 
 
-def test_frames_come_whole_in_pieces_of_any_size() -> None:
-    frames = pack({"a": 1}) + pack({"b": "x" * 300})
+def test_frames_are_reassembled_from_pieces_of_any_size() -> None:
+    frames = encode_frame({"a": 1}) + encode_frame({"b": "x" * 300})
     for size in (1, 7, len(frames)):
-        reader, got = Reader(), []
+        reader, got = FrameReader(), []
         for at in range(0, len(frames), size):
             got += reader.feed(frames[at : at + size])
         assert got == [{"a": 1}, {"b": "x" * 300}]
@@ -36,29 +44,29 @@
 @pytest.mark.parametrize(
     "data",
     [
-        HEAD.pack(b"ELSE", FORMAT, 2) + b"{}",
-        HEAD.pack(MAGIC, FORMAT + 1, 2) + b"{}",
-        HEAD.pack(MAGIC, FORMAT, 1 << 30),
-        HEAD.pack(MAGIC, FORMAT, 3) + b"{]x",
-        HEAD.pack(MAGIC, FORMAT, 2) + b"[]",
+        HEADER.pack(b"ELSE", FORMAT_VERSION, 2) + b"{}",
+        HEADER.pack(MAGIC, FORMAT_VERSION + 1, 2) + b"{}",
+        HEADER.pack(MAGIC, FORMAT_VERSION, 1 << 30),
+        HEADER.pack(MAGIC, FORMAT_VERSION, 3) + b"{]x",
+        HEADER.pack(MAGIC, FORMAT_VERSION, 2) + b"[]",
     ],
 )
-def test_what_is_no_frame_of_this_format_is_told(data: bytes) -> None:
+def test_input_that_is_not_a_frame_of_this_format_is_an_error(data: bytes) -> None:
     with pytest.raises(HandoverError):
-        Reader().feed(data)
+        FrameReader().feed(data)
 
 
-def test_a_process_keeps_to_what_the_others_leave() -> None:
-    shares = Shares()
-    assert shares.descriptors(300) == 300
-    shares.joined("b")
-    assert shares.descriptors(300) == 150, "until it has told"
-    shares.told("b", 40, 1e6)
-    assert shares.descriptors(300) == 260 and shares.held(3e6) == 2e6
-    shares.told("b", 299, 0)
-    assert shares.descriptors(300) == 60, "something is left, whatever the other uses"
-    shares.left("b")
-    assert shares.descriptors(300) == 300
+def test_a_process_is_limited_to_what_the_others_leave() -> None:
+    shares = LimitShares()
+    assert shares.descriptor_limit(300) == 300
+    shares.add_process("b")
+    assert shares.descriptor_limit(300) == 150, "until its first report"
+    shares.record_usage("b", 40, 1e6)
+    assert shares.descriptor_limit(300) == 260 and shares.buffer_limit(3e6) == 2e6
+    shares.record_usage("b", 299, 0)
+    assert shares.descriptor_limit(300) == 60, "a minimum is left, whatever the other uses"
+    shares.remove_process("b")
+    assert shares.descriptor_limit(300) == 300
 
 
 def learned() -> tuple[Any, dict[str, Any]]:
@@ -74,7 +82,7 @@
     return balancer, json.loads(json.dumps(balancer.export_state(2_020)))
 
 
-def test_the_module_goes_on_with_what_another_has_learned() -> None:
+def test_the_policy_starts_from_the_state_of_another() -> None:
     old, told = learned()
     new = make_balancer(now=50_000)
     new.restore_state(50_000, told)
@@ -102,7 +110,7 @@
         {"spread": []},
     ],
 )
-def test_what_is_malformed_changes_nothing(change: dict[str, Any]) -> None:
+def test_a_malformed_state_changes_nothing(change: dict[str, Any]) -> None:
     _, told = learned()
     new = make_balancer()
     before = new.export_state(0)
@@ -112,17 +120,17 @@
 
 
 async def successor(rig: Rig, folder: Path, listener: socket.socket) -> Host:
-    """Another process of the same proxy, but for the process: it waits for the one that runs, which here runs
-    on this very loop."""
+    """Starts a second host as another process of the same proxy would. It waits for the state of the first
+    host, which here runs on the same loop."""
     config = replace(
         rig.host.config,
         accept_fd=os.dup(listener.fileno()),
         known=replace(rig.host.config.known, revision=0, members=()),
     )
     host = Host(config, rig.host.loop)
-    succession = host.handover = Succession(host, str(folder), "n0")
-    state = await asyncio.get_running_loop().run_in_executor(None, succession.ask)
-    succession.ask = lambda: state  # type: ignore[method-assign]
+    handover = host.handover = Handover(host, str(folder), "n0")
+    state = await asyncio.get_running_loop().run_in_executor(None, handover.request_state)
+    handover.request_state = lambda: state  # type: ignore[method-assign]
     host.start()
     return host
 
@@ -134,10 +142,10 @@
     async def whole() -> None:
         listener = socket.create_server(ANY)
         async with Rig(serve_value, serve_value, limits={"accept_fd": os.dup(listener.fileno())}) as rig:
-            rig.host.handover = Succession(rig.host, str(tmp_path), "n0")
-            rig.host.handover.begin()
+            rig.host.handover = Handover(rig.host, str(tmp_path), "n0")
+            rig.host.handover.start()
             await test(rig, tmp_path, listener)
-            rig.host.handover.shut()
+            rig.host.handover.close()
         listener.close()
 
     run(whole())
@@ -154,7 +162,7 @@
     for pool in [*host.pools.values(), host.discovery.pool]:
         pool.retire()
     if host.handover is not None:
-        host.handover.shut()
+        host.handover.close()
 
 
 def test_clients_notice_nothing_of_a_replacement(tmp_path: Path) -> None:
@@ -179,7 +187,7 @@
         ), "the list came from the old process"
         ended = stopped(rig.host)
         rig.host.stop()
-        await until(lambda: len(new.frontend.clients) == 1)  # the idle one
+        await until(lambda: len(new.frontend.clients) == 1)  # the idle connection
         assert not ended
         release.set()
         seen = await busy.receive()
@@ -189,16 +197,16 @@
         assert seen is not None and seen.status == 200
         await until(lambda: ended)
         for client in (idle, busy, half):
-            assert (await client.ask()).status == 200, "on the very connection that it had"
+            assert (await client.ask()).status == 200, "on the same connection as before"
         assert new.metrics.classes["read"].fulfilled == 3
-        assert (await rig.ask()).status == 200, "new connections come to the new process alone"
+        assert (await rig.ask()).status == 200, "new connections reach only the new process"
         assert new.metrics.classes["read"].fulfilled == 4
         close(new)
 
     replaced(tmp_path, test)
 
 
-def test_where_the_new_process_dies_the_old_goes_on(tmp_path: Path) -> None:
+def test_the_old_process_goes_on_if_the_new_one_dies(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         whole = rig.host.descriptor_limit
         first = await successor(rig, folder, listener)
@@ -208,13 +216,13 @@
         await until(lambda: rig.host.handover and not rig.host.handover.links)
         assert rig.host.descriptor_limit == whole and (await rig.ask()).status == 200
         second = await successor(rig, folder, listener)
-        assert len(second.listed_nodes) == 2, "the old process can be found again"
+        assert len(second.listed_nodes) == 2, "the old process listens again"
         close(second)
 
     replaced(tmp_path, test)
 
 
-def test_where_the_new_process_dies_in_the_midst_clients_are_sent_elsewhere(tmp_path: Path) -> None:
+def test_clients_are_sent_elsewhere_if_the_new_process_dies_during_the_handover(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         new = await successor(rig, folder, listener)
         held = await rig.connect()
@@ -230,8 +238,8 @@
     replaced(tmp_path, test)
 
 
-def test_what_one_process_is_told_the_other_hears(tmp_path: Path) -> None:
-    """The rules see one proxy: a box that drains, and operators who send clients away."""
+def test_updates_reach_the_other_processes(tmp_path: Path) -> None:
+    """The rules see one proxy: a node that drains, and standby, apply to all its processes."""
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         _, writer = await rig.calls.get()
@@ -240,11 +248,11 @@
         draining = node_id("s-0")
         writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
         await until(lambda: new.listed_nodes[draining][2].state is State.DRAINING)
-        assert new.discovery.revision == 41, "its own watch goes on from where it was"
+        assert new.discovery.revision == 41, "its own watch keeps its revision"
         assert new.enter_standby() and new.lifecycle.draining
         await until(lambda: rig.host.lifecycle.draining)
         third = await successor(rig, folder, listener)
-        assert third.lifecycle.draining, "who starts beside one on standby is on standby"
+        assert third.lifecycle.draining, "a process that starts beside one on standby is on standby"
         assert rig.host.activate()
         await until(lambda: not new.lifecycle.draining and not third.lifecycle.draining)
         close(third)
@@ -253,7 +261,7 @@
     replaced(tmp_path, test)
 
 
-def test_new_settings_and_a_list_that_is_out_of_reach_in_the_midst(tmp_path: Path) -> None:
+def test_settings_change_during_a_handover_while_discovery_is_unreachable(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         client = await rig.connect()
         await client.ask()
@@ -291,8 +299,8 @@
     replaced(tmp_path, test)
 
 
-def test_connections_to_boxes_pass_on_as_well(tmp_path: Path) -> None:
-    """The new process need not dial for each request, just when it gets all clients."""
+def test_connections_to_nodes_are_handed_over(tmp_path: Path) -> None:
+    """The new process need not connect anew for each request, just when it takes over all clients."""
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         clients = [await rig.connect() for _ in range(6)]
@@ -302,8 +310,8 @@
             assert (seen := await client.receive()) is not None and seen.status == 200
         dialled = sum(node.connections for node in rig.nodes)
         new = await successor(rig, folder, listener)
-        link = await heir_of(rig.host)
-        await until(lambda: link.boxes)
+        link = await link_to_successor(rig.host)
+        await until(lambda: link.takes_node_connections)
         ended = stopped(rig.host)
         rig.host.stop()
         await until(lambda: ended and len(new.frontend.clients) == 6)
@@ -311,15 +319,15 @@
         for client in clients:
             assert (await client.ask()).status == 200
         assert sum(node.connections for node in rig.nodes) == dialled
-        assert new.descriptors_used == 6 + dialled, "the one to discovery is kept apart"
+        assert new.descriptors_used == 6 + dialled, "the connection to discovery is not counted"
         assert rig.host.descriptors_used == 0
         close(new)
 
     replaced(tmp_path, test)
 
 
-def test_a_box_connection_that_came_too_late_is_closed(tmp_path: Path) -> None:
-    """The list has changed, or there is no room: what came along is not kept."""
+def test_a_node_connection_that_cannot_be_used_is_closed(tmp_path: Path) -> None:
+    """If the list has changed or no descriptor is free, a connection handed over is closed."""
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         pool = next(iter(rig.host.pools.values()))
@@ -339,32 +347,33 @@
     replaced(tmp_path, test)
 
 
-def test_what_passes_is_counted_before_the_next_report() -> None:
-    shares = Shares()
-    shares.joined("old")
-    shares.moved("old", -5)
-    assert shares.descriptors(100) == 50, "it has not told yet"
-    shares.told("old", 70, 0)
-    shares.moved("old", -30)
-    assert shares.descriptors(100) == 60
-    shares.moved("old", 30)
-    assert shares.descriptors(100) == 30
-    shares.moved("old", -300)
-    assert shares.descriptors(100) == 100
+def test_transfers_are_counted_before_the_next_usage_report() -> None:
+    shares = LimitShares()
+    shares.add_process("old")
+    shares.record_transfer("old", -5)
+    assert shares.descriptor_limit(100) == 50, "it has not reported yet"
+    shares.record_usage("old", 70, 0)
+    shares.record_transfer("old", -30)
+    assert shares.descriptor_limit(100) == 60
+    shares.record_transfer("old", 30)
+    assert shares.descriptor_limit(100) == 30
+    shares.record_transfer("old", -300)
+    assert shares.descriptor_limit(100) == 100
 
 
-def test_what_comes_along_with_the_handover_is_heard(tmp_path: Path) -> None:
-    """The first report lay behind the handover and was dropped: for 100 ms the new process took the old one
-    to use half of all descriptors, and had no room for the clients that it was passed."""
+def test_frames_that_arrive_with_the_state_are_handled(tmp_path: Path) -> None:
+    """Guards against dropping the first usage report, which follows the state in the same read: for 100 ms
+    the new process assumed that the old one used half of all descriptors, and had none for the clients handed
+    over."""
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         here, there = socket.socketpair(socket.AF_UNIX)
-        there.sendall(pack(rig.host.state()) + pack({"used": 200, "held": 7}))
+        there.sendall(encode_frame(rig.host.export_state()) + encode_frame({"used": 200, "held": 7}))
         host = Host(rig.host.config, rig.host.loop)
-        succession = host.handover = Succession(host, str(folder), "n1")
-        succession.place.dial = lambda: here  # type: ignore[method-assign]
-        assert succession.ask() == json.loads(json.dumps(rig.host.state()))
-        succession.begin()
+        handover = host.handover = Handover(host, str(folder), "n1")
+        handover.handover_socket.connect = lambda: here  # type: ignore[method-assign]
+        assert handover.request_state() == json.loads(json.dumps(rig.host.export_state()))
+        handover.start()
         assert host.descriptor_limit == host.total_descriptor_limit - 200
         there.close()
         close(host)
@@ -372,29 +381,29 @@
     replaced(tmp_path, test)
 
 
-async def heir_of(host: Host) -> Link:
-    """The link to the process that takes over."""
-    await until(lambda: host.handover and host.handover.heir)
-    assert host.handover is not None and host.handover.heir is not None
-    return host.handover.heir
+async def link_to_successor(host: Host) -> HandoverLink:
+    """Returns the link to the process that takes over."""
+    await until(lambda: host.handover and host.handover.successor)
+    assert host.handover is not None and host.handover.successor is not None
+    return host.handover.successor
 
 
-def test_a_stale_file_and_one_that_tells_nonsense(tmp_path: Path) -> None:
+def test_a_stale_socket_file_and_a_peer_that_sends_garbage(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         other = folder / "other"
         other.mkdir()
-        stale = Place(str(other), "n0")
+        stale = HandoverSocket(str(other), "n0")
         stale.listen().close()
         host = await successor(rig, other, listener)
-        assert not host.listed_nodes, "nobody is there: it begins with what is known, here nothing"
+        assert not host.listed_nodes, "no process runs: it starts with the known list, which is empty here"
         close(host)
-        liar = Place(str(other), "n0").listen()
-        asking = asyncio.create_task(successor(rig, other, listener))
-        await until(lambda: not _would_block(liar, b"nonsense of some length"))
-        host = await asking
+        malformed_peer = HandoverSocket(str(other), "n0").listen()
+        starting = asyncio.create_task(successor(rig, other, listener))
+        await until(lambda: not _would_block(malformed_peer, b"nonsense of some length"))
+        host = await starting
         assert not host.listed_nodes
         close(host)
-        liar.close()
+        malformed_peer.close()
 
     replaced(tmp_path, test)
 
--- a/tests/operations/test_metrics.py
+++ b/tests/operations/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures against what scripted peers saw."""
+"""The metrics, compared with what scripted peers saw."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 def test_every_class_is_there_from_the_start_and_labels_are_escaped() -> None:
-    figures = ProxyMetrics(["read", 'a "b"\\'])
-    text = figures.text({"registry_entries": 3})
+    metrics = ProxyMetrics(["read", 'a "b"\\'])
+    text = metrics.render({"registry_entries": 3})
     assert counts(text)["read", "fulfilled"] == 0
     assert 'priority="a \\"b\\"\\\\",status="relayed"} 0' in text
     assert "svc_registry_entries 3\n" in text and "svc_cfg_invalid 0\n" in text
 
 
-def test_strange_classes_share_one_count() -> None:
-    figures = ProxyMetrics(["read"])
+def test_unknown_classes_share_one_count() -> None:
+    metrics = ProxyMetrics(["read"])
     for number in range(100):
-        figures.begin_request(f"strange-{number}").end_request(503)
-    assert figures.classes["unknown"].throttled == 100 and len(figures.classes) == 2
+        metrics.begin_request(f"strange-{number}").end_request(503)
+    assert metrics.classes["unknown"].throttled == 100 and len(metrics.classes) == 2
 
 
-async def whatever(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """A node that answers as the key asks."""
+async def respond_by_key(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """A node whose kind of response depends on the key."""
     kind = int(seen.line.split()[1][-1], 16) % 8
     if kind == 0:
         writer.write(answer(b"no", "500 Broken"))
@@ -55,9 +55,9 @@
         writer.write(answer(b"value"))
 
 
-def test_every_ending_is_counted_once_as_the_clients_saw_it() -> None:
-    """Answered, refused, failed, cut off in the midst, too late, turned away at the door. NOTCHFLOW_LONG=1
-    asks 100,000 times, which takes some minutes."""
+def test_every_request_is_counted_once_with_the_result_its_client_saw() -> None:
+    """Covers fulfilled, shed, failed, cut-off and late requests and those of unknown classes.
+    NOTCHFLOW_LONG=1 sends 100,000 requests, which takes some minutes."""
     clients, each = (20, 5_000) if os.environ.get("NOTCHFLOW_LONG") else (5, 100)
 
     async def test() -> None:
@@ -87,7 +87,7 @@
             for number in range(start, start + each):
                 client = await ask(client, number)
 
-        async with Rig(whatever, whatever, whatever) as rig:
+        async with Rig(respond_by_key, respond_by_key, respond_by_key) as rig:
             await asyncio.gather(*(one(100_000 * n) for n in range(1, clients + 1)))
             await until(lambda: rig.host.metrics.open == 0)
             got = counts(rig.host.metrics_text())
@@ -96,17 +96,17 @@
                 assert got[cls, word] == number, (cls, word)
             relayed = sum(n for (_, word), n in got.items() if word == "relayed")
             assert relayed == rig.sent
-            assert sum(c.taken for c in rig.host.metrics.classes.values()) == clients * each
+            assert sum(c.total for c in rig.host.metrics.classes.values()) == clients * each
 
     run(test(), 30 if each == 100 else 600)
 
 
-def test_open_requests_and_those_whose_client_has_gone() -> None:
-    async def mute(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def test_open_requests_and_those_whose_client_has_left() -> None:
+    async def never_respond(seen: Seen, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0)
 
     async def test() -> None:
-        async with Rig(mute) as rig:
+        async with Rig(never_respond) as rig:
             clients = [await rig.connect() for _ in range(5)]
             for client in clients:
                 client.send()
@@ -121,22 +121,22 @@
     run(test())
 
 
-def plain(rig: Rig) -> str:
+def samples(rig: Rig) -> str:
     return re.sub("# .*\n", "", rig.host.metrics_text())
 
 
-def test_the_list_is_counted_with_those_that_are_avoided() -> None:
+def test_listed_and_avoided_nodes_are_counted() -> None:
     async def test() -> None:
-        async with Rig(whatever, whatever, whatever) as rig:
+        async with Rig(respond_by_key, respond_by_key, respond_by_key) as rig:
             assert "svc_registry_entries 3\n" in rig.host.metrics_text()
             _, writer = await rig.calls.get()
             writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
             _, writer = await rig.calls.get()
-            assert "svc_registry_entries 3\n" in plain(rig) and "svc_out_of_rotation 1\n" in plain(rig)
-            (age,) = re.findall(r"svc_registry_age_ms (\d+)\n", plain(rig))
-            assert 0 <= int(age) < 10_000 and "svc_registry_failures 0\n" in plain(rig)
+            assert "svc_registry_entries 3\n" in samples(rig) and "svc_out_of_rotation 1\n" in samples(rig)
+            (age,) = re.findall(r"svc_registry_age_ms (\d+)\n", samples(rig))
+            assert 0 <= int(age) < 10_000 and "svc_registry_failures 0\n" in samples(rig)
             writer.write(rig.listing(43, False, [rig.entry(0, phase="removed")]))
             await rig.calls.get()
-            assert "svc_registry_entries 2\n" in plain(rig) and "svc_out_of_rotation 0\n" in plain(rig)
+            assert "svc_registry_entries 2\n" in samples(rig) and "svc_out_of_rotation 0\n" in samples(rig)
 
     run(test())
--- a/tests/operations/test_pacing.py
+++ b/tests/operations/test_pacing.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from notchflow.net.pacing import PAUSE_PER_WORK, WORK_LEAST_S, PausingFinder, paced_imports
+from notchflow.net.pacing import MIN_WORK_S, PAUSE_RATIO, PausingFinder, paced_imports
 
 ROOT = Path(__file__).resolve().parents[2]
 COUNT_PAUSES = """
@@ -23,20 +23,20 @@
 """
 
 
-def test_pauses_follow_the_work_done_since_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a start that takes the quota of both processes in one piece."""
+def test_pauses_are_proportional_to_the_work_since_the_last_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a start that uses up the processor quota of both processes in one piece."""
     pauses = list[float]()
     worked = [0.0]
     monkeypatch.setattr(time, "sleep", pauses.append)
     monkeypatch.setattr(time, "process_time", lambda: worked[0])
     finder = PausingFinder()
-    for work in (WORK_LEAST_S / 2, WORK_LEAST_S / 2, 0.0, 0.01):
+    for work in (MIN_WORK_S / 2, MIN_WORK_S / 2, 0.0, 0.01):
         worked[0] += work
         finder.find_spec("module", None)
-    assert pauses == pytest.approx([PAUSE_PER_WORK * WORK_LEAST_S, PAUSE_PER_WORK * 0.01])
+    assert pauses == pytest.approx([PAUSE_RATIO * MIN_WORK_S, PAUSE_RATIO * 0.01])
 
 
-def test_the_hook_goes_when_what_was_imported_failed() -> None:
+def test_the_hook_is_removed_when_an_import_fails() -> None:
     before = list(sys.meta_path)
     with pytest.raises(ImportError), paced_imports():
         assert len(sys.meta_path) == len(before) + 1
@@ -44,9 +44,9 @@
     assert sys.meta_path == before
 
 
-@pytest.mark.parametrize(("inherited", "told"), [("4", "2 True 0"), (None, "2 False 0")])
-def test_a_proxy_paces_its_start_where_its_socket_is_inherited(inherited: str | None, told: str) -> None:
-    """Its configuration is missing: it ends with 2, after all of its imports."""
+@pytest.mark.parametrize(("inherited", "expected"), [("4", "2 True 0"), (None, "2 False 0")])
+def test_a_start_with_an_inherited_socket_is_paced(inherited: str | None, expected: str) -> None:
+    """Without a configuration the process ends with status 2, after all of its imports."""
     settings = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
     if inherited is not None:
         settings["ROUTER_ACCEPT_FD"] = inherited
@@ -58,4 +58,4 @@
         capture_output=True,
         timeout=60,
     )
-    assert ended.stdout.split("\n")[-2] == told, ended.stderr
+    assert ended.stdout.split("\n")[-2] == expected, ended.stderr
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are under way, and files that are turned down."""
+"""Settings that change while requests are in progress, and configuration files that are rejected."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     Status,
 )
 from notchflow.net.config import ConfigError, load, reload
-from notchflow.net.process import on_hangup
-from notchflow.operations.key_paths import missing, shape_of
+from notchflow.net.process import on_sighup
+from notchflow.operations.key_paths import collect_key_paths, missing_key_paths
 from tests.helpers import LIMITS, make_balancer, make_request, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, until
 
@@ -84,15 +84,15 @@
 
 
 @pytest.mark.parametrize("fault", BROKEN)
-def test_a_broken_file_is_turned_down_whole_with_its_place(fault: str, written: Path) -> None:
+def test_a_faulty_file_is_rejected_as_a_whole_with_its_path(fault: str, written: Path) -> None:
     running = load(os.environ)
     written.write_text(BROKEN[fault])
     with pytest.raises(ConfigError, match=str(written)):
-        reload(os.environ, running.shape)
+        reload(os.environ, running.key_paths)
 
 
 @pytest.mark.parametrize(
-    ("given", "told"),
+    ("given", "expected"),
     [
         ({"listen": "here"}, "listen: expected host:port, got 'here'"),
         ({"discovery": 8500}, "discovery: expected host:port, got 8500"),
@@ -111,23 +111,25 @@
         (changed(Rules={"AskWithinMs": "x"}), "Rules.AskWithinMs: must be a finite number, not 'x'"),
     ],
 )
-def test_a_figure_that_cannot_be_is_told_by_its_name(given: dict[str, Any], told: str, written: Path) -> None:
+def test_an_invalid_value_is_reported_by_its_name(
+    given: dict[str, Any], expected: str, written: Path
+) -> None:
     written.write_text(json.dumps(FILE | given))
     with pytest.raises(ConfigError) as caught:
         load(os.environ)
-    assert str(caught.value).startswith(f"ROUTER_CONFIG: {written}: {told}")
+    assert str(caught.value).startswith(f"ROUTER_CONFIG: {written}: {expected}")
 
 
-def test_more_keys_and_classes_with_keys_of_their_own_are_whole() -> None:
-    shape = shape_of(changed(Classes=[CLASS | {"WindowMs": 5}, CLASS | {"Name": "b"}]))
-    assert missing(shape, changed(Classes=[CLASS])) == []
-    assert missing(shape, changed(Classes=[without(CLASS, "Name")])) == ["settings.Classes[].Name"]
-    assert missing(shape, FILE | {"more": 1}) == []
+def test_additional_keys_and_keys_of_single_classes_are_not_required() -> None:
+    running_paths = collect_key_paths(changed(Classes=[CLASS | {"WindowMs": 5}, CLASS | {"Name": "b"}]))
+    assert missing_key_paths(running_paths, changed(Classes=[CLASS])) == []
+    assert missing_key_paths(running_paths, changed(Classes=[without(CLASS, "Name")])) == [
+        "settings.Classes[].Name"
+    ]
+    assert missing_key_paths(running_paths, FILE | {"more": 1}) == []
 
 
-def test_a_hangup_takes_a_file_over_or_leaves_all_as_it_was(
-    written: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_sighup_applies_a_file_or_changes_nothing(written: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with Rig() as rig:
             rig.host.config = replace(
@@ -136,7 +138,7 @@
             before = rig.host.settings
             for fault in BROKEN.values():
                 written.write_text(fault)
-                on_hangup(rig.host)
+                on_sighup(rig.host)
             assert rig.host.settings is before and rig.host.metrics.cfg_invalid == len(BROKEN)
             assert (await rig.ask()).status == 200
             written.write_text(
@@ -146,10 +148,10 @@
                 )
             )
             assert (await rig.ask(x_call_class="fresh")).status == 503
-            on_hangup(rig.host)
+            on_sighup(rig.host)
             assert rig.host.metrics.cfg_accepted == 1
             assert (await rig.ask(x_call_class="fresh")).status == 200
-            assert (await rig.ask(x_call_class="keyed")).status == 503, "a class that has vanished"
+            assert (await rig.ask(x_call_class="keyed")).status == 503, "a class that was removed"
             assert 'priority="fresh",status="fulfilled"} 1' in rig.host.metrics_text()
 
     with caplog.at_level(logging.ERROR):
@@ -157,8 +159,8 @@
     assert len([r for r in caplog.records if r.name == "notchflow.net.process"]) == len(BROKEN)
 
 
-def test_a_time_that_only_connections_know_is_taken_over() -> None:
-    """Guards against a file that states nothing else anew: the module's settings are equal then."""
+def test_a_changed_idle_timeout_of_connections_is_applied() -> None:
+    """Guards against ignoring a file that changes nothing else: the policy's settings are equal then."""
 
     async def test() -> None:
         async with Rig() as rig:
@@ -168,7 +170,7 @@
     run(test())
 
 
-def test_a_request_under_way_keeps_its_class_when_that_vanishes() -> None:
+def test_a_request_in_progress_keeps_its_class_when_that_is_removed() -> None:
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
 
@@ -193,17 +195,17 @@
     assert balancer.handle(now, SettingsChanged(make_settings(**changes))) == []
 
 
-def test_a_stricter_effect_binds_what_comes_later_alone() -> None:
+def test_a_stricter_effect_applies_to_later_requests_only() -> None:
     balancer = make_balancer()
     first = sends(balancer.handle(10, make_request(1, 10, "read")))[0]
     retune(balancer, 20, classes=(RequestClass("read", 300, 1000, effect=Effect.UNSAFE),))
     again = balancer.handle(30, Outcome(1, 0, first.node, Status.RESET, 20))
-    assert isinstance(again[0], Send), "it was safe to repeat when it was taken"
+    assert isinstance(again[0], Send), "it was safe to repeat when it was accepted"
     later = sends(balancer.handle(40, make_request(2, 40, "read")))[0]
     assert balancer.handle(50, Outcome(2, 0, later.node, Status.RESET, 10)) == [Fail(2)]
 
 
-def test_fewer_attempts_hold_at_once_and_more_for_later_ones() -> None:
+def test_fewer_attempts_apply_at_once_and_more_to_later_requests() -> None:
     balancer = make_balancer(limits=Limits(max_attempts=3))
     first = sends(balancer.handle(10, make_request(1, 10)))[0]
     retune(balancer, 20, limits=Limits(max_attempts=1))
@@ -215,7 +217,7 @@
     assert isinstance(balancer.handle(80, Outcome(3, 0, third.node, Status.FULL, 10))[0], Send)
 
 
-def test_what_was_learned_stays() -> None:
+def test_learned_state_is_kept() -> None:
     balancer = make_balancer()
     for number in range(200):
         send = sends(balancer.handle(number, make_request(number, number)))[0]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console, and the listening socket that is inherited."""
+"""The console, and the inherited listening socket."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import pytest
 
-from notchflow.net.console import CALLERS_MAX
-from notchflow.net.frontend import inherit
+from notchflow.net.console import MAX_CONNECTIONS
+from notchflow.net.frontend import inherit_listener
 from tests.rig import Client, Rig, Seen, read_message, run, serve_value, until
 
 ANY = ("127.0.0.1", 0)
@@ -26,7 +26,7 @@
     client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n".encode())
     seen = await client.receive()
     assert seen is not None and seen.headers["connection"] == "close"
-    assert await client.receive() is None, "one call on each connection"
+    assert await client.receive() is None, "one request per connection"
     return seen
 
 
@@ -34,17 +34,17 @@
     return Rig(serve_value, serve_value, limits={"console": ANY})
 
 
-def test_each_call_and_what_is_none() -> None:
+def test_each_request_and_invalid_ones() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
             assert (await call(rig, "GET", "/status")).status == 200
             await rig.ask()
-            figures = (await call(rig, "GET", "/status/metrics")).body.decode()
-            assert 'svc_operations{priority="read",status="fulfilled"} 1\n' in figures
+            metrics = (await call(rig, "GET", "/status/metrics")).body.decode()
+            assert 'svc_operations{priority="read",status="fulfilled"} 1\n' in metrics
             assert (await call(rig, "GET", "/nothing")).status == 404
             wrong = await call(rig, "GET", "/standby")
             assert (wrong.status, wrong.headers["allow"]) == (405, "POST")
-            assert (await rig.ask()).status == 200, "a call in the wrong form does nothing"
+            assert (await rig.ask()).status == 200, "a request with the wrong method does nothing"
             client = await dial(rig)
             client.writer.write(b"nonsense\r\n\r\n")
             assert (await read_message(client.reader) or Seen("x 0", {}, b"")).status == 400
@@ -52,44 +52,44 @@
     run(test())
 
 
-def test_silent_callers_keep_nobody_out() -> None:
+def test_silent_connections_keep_no_others_out() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
-            silent = [await dial(rig) for _ in range(CALLERS_MAX * 3)]
+            silent = [await dial(rig) for _ in range(MAX_CONNECTIONS * 3)]
             for half in silent[::2]:
                 half.writer.write(b"GET /sta")
             assert (await call(rig, "GET", "/status")).status == 200
             console = rig.host.console
             assert console is not None
-            assert len(console.callers) <= CALLERS_MAX
-            for caller in console.callers:
-                caller.since -= 10_000
-            console.sweep(rig.host.clock.now())
-            await until(lambda: not console.callers)
+            assert len(console.connections) <= MAX_CONNECTIONS
+            for connection in console.connections:
+                connection.opened_at -= 10_000
+            console.close_expired(rig.host.clock.now())
+            await until(lambda: not console.connections)
             for client in silent:
                 client.writer.transport.abort()
 
     run(test())
 
 
-def lasting(text: str) -> list[str]:
-    """What does not change by itself from one report to the next."""
+def without_age(text: str) -> list[str]:
+    """Returns the metrics that do not change with time."""
     return [line for line in text.splitlines() if not line.startswith("svc_registry_age_ms")]
 
 
-def test_an_answer_longer_than_the_kernel_takes_comes_whole() -> None:
+def test_a_response_longer_than_the_socket_buffer_arrives_complete() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
-            rig.host.metrics.know(f"class-{n}" for n in range(40_000))
+            rig.host.metrics.add_classes(f"class-{n}" for n in range(40_000))
             text = rig.host.metrics_text()
             assert len(text) > 8 << 20
-            came = (await call(rig, "GET", "/status/metrics")).body.decode()
-            assert lasting(came) == lasting(text)
+            received = (await call(rig, "GET", "/status/metrics")).body.decode()
+            assert without_age(received) == without_age(text)
 
     run(test())
 
 
-def test_standby_sends_clients_away_and_active_brings_them_back() -> None:
+def test_standby_closes_client_connections_and_active_ends_it() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
             used, idle = await rig.connect(), await rig.connect()
@@ -99,9 +99,9 @@
             assert ready.status == 503
             asked = await used.ask()
             assert (asked.status, asked.headers["connection"]) == (200, "close")
-            assert (await rig.ask()).status == 200, "what still comes is served"
-            rig.host.lifecycle.since -= 1_600
-            assert await idle.receive() is None, "idle ones are closed"
+            assert (await rig.ask()).status == 200, "requests that still arrive are served"
+            rig.host.lifecycle.entered_at -= 1_600
+            assert await idle.receive() is None, "idle connections are closed"
             await until(lambda: not rig.host.frontend.clients)
             assert (await call(rig, "POST", "/standby")).status == 200
             assert (await call(rig, "POST", "/active")).status == 200
@@ -111,16 +111,17 @@
     run(test())
 
 
-def test_after_the_end_was_told_no_call_brings_clients_back() -> None:
+def test_a_process_that_is_stopping_cannot_become_active() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
             held = await rig.connect()
-            held.send("PUT", body=None, content_length="5")  # keeps the process there
+            # an incomplete request delays the end of the process
+            held.send("PUT", body=None, content_length="5")
             await until(lambda: any(c.arriving for c in rig.host.frontend.clients))
             rig.host.stop()
             assert (await call(rig, "POST", "/active")).status == 409
             assert (await call(rig, "GET", "/status")).status == 503
-            rig.host.stop_by = float("inf")
+            rig.host.stop_deadline = float("inf")
 
     run(test())
 
@@ -141,7 +142,7 @@
     run(test())
 
 
-def test_what_is_no_listener_is_told_by_its_number() -> None:
+def test_an_error_names_the_inherited_descriptor_that_is_not_a_listener() -> None:
     with socket.socket() as idle:
         with pytest.raises(OSError, match=f"descriptor {idle.fileno()} .*ROUTER_ACCEPT_FD"):
-            inherit(idle.fileno())
+            inherit_listener(idle.fileno())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Clients of every kind, over loopback sockets: bad input, slow input, leaving, limits."""
+"""Client connections over loopback sockets: malformed and slow input, departing clients, limits."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from notchflow.net import frontend
 from tests.rig import Client, Rig, Seen, answer, run, serve_value, until
 
-GOOD = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: read\r\n\r\n"
+VALID_REQUEST = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: read\r\n\r\n"
 
-BAD: list[tuple[bytes, int]] = [
+MALFORMED: list[tuple[bytes, int]] = [
     (b"\x16\x03\x01\x02\x00 not HTTP\r\n\r\n", 400),
     (b"GET /api/00aa\r\n\r\n", 400),
     (b"PUT /api/a HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", 400),
@@ -24,7 +24,7 @@
     (b"GET /api/a HTTP/1.1\r\nX-Long: " + b"a" * 40_000, 431),
     (b"PUT /api/a HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 33554433\r\n\r\n", 413),
 ]
-UNANSWERABLE: list[tuple[bytes, int]] = [
+NOT_FORWARDED: list[tuple[bytes, int]] = [
     (b"GET /other HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n", 404),
     (b"GET /api/ HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n", 404),
     (b"DELETE /api/a HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n", 405),
@@ -37,8 +37,8 @@
 ]
 
 
-@pytest.mark.parametrize("data,status", BAD)
-def test_what_cannot_be_read_is_answered_and_ends_the_connection(
+@pytest.mark.parametrize("data,status", MALFORMED)
+def test_malformed_input_is_answered_and_closes_the_connection(
     data: bytes, status: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -48,22 +48,24 @@
             seen = await client.receive()
             assert seen is not None and seen.status == status
             peer = client.writer.get_extra_info("sockname")
-            told = [r.getMessage() for r in caplog.records if "connection ends" in r.msg]
+            logged = [r.getMessage() for r in caplog.records if "connection ends" in r.msg]
             if data.startswith(b"GET /api/00aa\r\n"):
-                assert told == [], "HTTP/0.9 can be read: it is a request without an id"
+                assert logged == [], "HTTP/0.9 can be parsed: it is a request without an id"
             else:
-                assert [f"ends with {status}: " in t and t.endswith(f", from {peer}") for t in told] == [True]
+                assert [f"ends with {status}: " in t and t.endswith(f", from {peer}") for t in logged] == [
+                    True
+                ]
             assert seen.headers["connection"] == "close"
             assert await client.reader.read() == b"", "nothing may follow"
             assert rig.sent == 0
-            assert (await rig.ask()).status == 200, "others are served as before"
+            assert (await rig.ask()).status == 200, "other clients are served as before"
 
     with caplog.at_level(logging.INFO):
         run(test())
 
 
-@pytest.mark.parametrize("data,status", UNANSWERABLE)
-def test_what_no_node_should_see_fails_and_the_connection_goes_on(data: bytes, status: int) -> None:
+@pytest.mark.parametrize("data,status", NOT_FORWARDED)
+def test_requests_that_are_not_forwarded_fail_and_keep_the_connection(data: bytes, status: int) -> None:
     async def test() -> None:
         async with Rig() as rig:
             client = await rig.connect()
@@ -76,7 +78,7 @@
     run(test())
 
 
-def test_a_missing_budget_is_the_deadline_of_the_class() -> None:
+def test_a_missing_budget_defaults_to_the_deadline_of_the_class() -> None:
     async def test() -> None:
         async with Rig() as rig:
             await rig.ask(X_Budget="")
@@ -85,7 +87,7 @@
     run(test())
 
 
-def test_a_request_may_trickle_in_and_come_in_chunks() -> None:
+def test_a_request_may_arrive_in_small_pieces_and_in_chunks() -> None:
     async def test() -> None:
         async with Rig() as rig:
             client = await rig.connect()
@@ -104,7 +106,7 @@
     run(test())
 
 
-def test_a_client_that_waits_to_be_told_to_go_on_is_told() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def test() -> None:
         async with Rig() as rig:
             client = await rig.connect()
@@ -121,11 +123,11 @@
     run(test())
 
 
-def test_requests_sent_ahead_are_answered_in_order_and_the_bad_one_last() -> None:
+def test_pipelined_requests_are_answered_in_order_and_the_malformed_one_last() -> None:
     async def test() -> None:
         async with Rig() as rig:
             client = await rig.connect()
-            ahead = [GOOD.replace(b"00aa", b"%04x" % n) for n in range(50)]
+            ahead = [VALID_REQUEST.replace(b"00aa", b"%04x" % n) for n in range(50)]
             client.writer.write(b"".join(ahead) + b"junk\r\n\r\n")
             for number in range(50):
                 seen = await client.receive()
@@ -136,7 +138,7 @@
     run(test())
 
 
-def test_a_half_closed_client_gets_its_answer() -> None:
+def test_a_half_closed_client_gets_its_response() -> None:
     gate = asyncio.Event()
 
     async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -157,7 +159,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_in_an_upload_leaves_nothing_behind() -> None:
+def test_a_client_that_leaves_during_an_upload_leaves_no_buffered_bytes() -> None:
     async def test() -> None:
         async with Rig() as rig:
             client = await rig.connect()
@@ -170,21 +172,21 @@
     run(test())
 
 
-def test_without_room_for_its_body_a_request_is_refused_once_it_has_come() -> None:
+def test_a_request_whose_body_exceeds_the_buffer_limit_is_rejected_once_it_has_arrived() -> None:
     async def test() -> None:
         async with Rig() as rig:
             rig.host.buffer_limit = 100_000
             client = await rig.connect()
-            seen = await client.ask("PUT", body=b"x" * 200_000)  # a longer one would go on as it comes
+            seen = await client.ask("PUT", body=b"x" * 200_000)  # a longer one would be streamed
             assert seen.status == 503
             assert (rig.host.buffered_bytes, rig.sent) == (0, 0)
-            assert (await client.ask("PUT", body=b"x" * 50_000)).status == 200, "it is used on"
+            assert (await client.ask("PUT", body=b"x" * 50_000)).status == 200, "the connection stays usable"
             assert rig.host.buffered_bytes == 0
 
     run(test())
 
 
-def test_a_long_answer_is_passed_on_as_it_comes_and_held_back_for_a_slow_reader() -> None:
+def test_a_long_response_is_streamed_with_backpressure_for_a_slow_reader() -> None:
     async def long(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(300):
@@ -205,7 +207,7 @@
     run(test())
 
 
-def test_a_long_answer_that_breaks_does_not_look_whole() -> None:
+def test_a_long_response_that_breaks_off_looks_incomplete() -> None:
     async def cut(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n")
         writer.write(b"v" * 0x20000 + b"\r\n")
@@ -223,7 +225,7 @@
     run(test())
 
 
-def test_near_the_limit_of_descriptors_idle_clients_make_room_for_new_ones() -> None:
+def test_idle_clients_are_closed_for_new_ones_near_the_descriptor_limit() -> None:
     async def test() -> None:
         async with Rig(limits={"sockets": 44}) as rig:
             for _ in range(60):
@@ -233,8 +235,9 @@
     run(test())
 
 
-def test_a_client_that_has_left_is_forgotten_and_makes_no_room_twice() -> None:
-    """Guards against memory that grows with each client, and against making room by closing the dead."""
+def test_a_closed_client_is_forgotten_and_frees_no_descriptor_twice() -> None:
+    """Guards against memory that grows with each client, and against closing dead connections to free
+    descriptors."""
 
     async def test() -> None:
         async with Rig(limits={"sockets": 44}) as rig:
@@ -244,25 +247,26 @@
                 client.reset()
             await until(lambda: not rig.host.frontend.clients)
             assert not rig.host.frontend.idle and not rig.host.frontend.close_idle()
-            for _ in range(40):  # they keep their connections; the room is not theirs for good
+            for _ in range(40):  # they keep their connections, but not their descriptors
                 assert (await rig.ask()).status == 200
             assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
     run(test())
 
 
-def test_who_sends_no_whole_request_is_soon_let_go_and_who_has_been_served_is_kept() -> None:
-    """Guards against descriptors held by clients that connect and say nothing, or trickle one head."""
+def test_clients_without_a_complete_request_time_out_and_served_ones_are_kept() -> None:
+    """Guards against descriptors held by clients that connect and send nothing, or send one head very
+    slowly."""
 
     async def test() -> None:
         async with Rig() as rig:
             silent, half, served = [await rig.connect() for _ in range(3)]
             assert (await served.ask()).status == 200
-            rig.host.timers.clear()  # the sweeps are this test's own, whatever the machine's pace
+            rig.host.timers.clear()  # the test runs the sweeps itself, whatever the speed of the machine
             half.writer.write(b"GET /api/00aa HTTP/1.1\r\nX-Call-")
             clients = rig.host.frontend.clients
             await until(lambda: sum(c.arriving is not None for c in clients) == 1 and len(clients) == 3)
-            began = max(c.due_since or 0.0 for c in clients)
+            began = max(c.request_due_since or 0.0 for c in clients)
             rig.host.frontend.sweep(began + 1_000)
             half.writer.write(b"Id: 1\r\n")
             await until(lambda: any(c.head_size > 35 for c in clients))
@@ -276,8 +280,8 @@
     run(test())
 
 
-def test_a_slow_body_has_the_time_that_it_needs_and_one_that_stops_has_not() -> None:
-    """Guards against uploads at 64 kB a second cut off after two, and against holding what stands still."""
+def test_a_slow_body_is_accepted_and_a_stalled_one_times_out() -> None:
+    """Guards against cutting off uploads at 64 kB/s after 2 s, and against keeping stalled ones."""
 
     async def test() -> None:
         async with Rig() as rig:
@@ -288,7 +292,7 @@
             slow.writer.write(b"x" * 200_000)
             clients = rig.host.frontend.clients
             await until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
-            began = max(c.due_since or 0.0 for c in clients)
+            began = max(c.request_due_since or 0.0 for c in clients)
             rig.host.frontend.sweep(began + 3_100)
             seen = await still.receive()
             assert seen is not None and seen.status == 408
@@ -299,7 +303,7 @@
     run(test())
 
 
-def test_while_stopping_what_comes_is_answered_and_then_the_loop_ends() -> None:
+def test_requests_during_shutdown_are_answered_before_the_loop_stops() -> None:
     gate = asyncio.Event()
 
     async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -310,7 +314,7 @@
     async def test() -> None:
         async with Rig(held) as rig:
             ended = asyncio.Event()
-            rig.host.loop = _Stopped(rig.host.loop, ended)  # type: ignore[assignment]
+            rig.host.loop = _LoopRecordingStop(rig.host.loop, ended)  # type: ignore[assignment]
             idle, busy = await rig.connect(), await rig.connect()
             assert (await idle.ask()).status == 200
             busy.send(path="/api/held")
@@ -320,7 +324,7 @@
             assert ready.status == 503
             late = await rig.ask()
             assert (late.status, late.headers["connection"]) == (200, "close")
-            assert await idle.reader.read() == b"", "idle connections are closed in the end"
+            assert await idle.reader.read() == b"", "idle connections are closed at the end"
             assert not ended.is_set()
             gate.set()
             seen = await busy.receive()
@@ -331,8 +335,8 @@
     run(test())
 
 
-class _Stopped:
-    """The test's loop, where the host's stop is only noted."""
+class _LoopRecordingStop:
+    """The test's loop, which records a stop instead of stopping."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ended: asyncio.Event) -> None:
         self.loop, self.stop = loop, ended.set
@@ -341,10 +345,10 @@
         return getattr(self.loop, name)
 
 
-PIECES = st.lists(
+INPUT_PIECES = st.lists(
     st.sampled_from(
         [
-            GOOD,
+            VALID_REQUEST,
             b"GET ",
             b"PUT ",
             b"/api/00aa",
@@ -368,7 +372,7 @@
 
 
 @settings(max_examples=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-@given(PIECES)
+@given(INPUT_PIECES)
 def test_no_input_breaks_the_proxy(pieces: list[bytes]) -> None:
     async def test() -> None:
         async with Rig() as rig:
@@ -384,15 +388,17 @@
     run(test())
 
 
-def test_no_client_that_is_about_to_ask_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against new connections that close one another: each client came back at once, for the next."""
-    monkeypatch.setattr(frontend, "MIN_IDLE_MS", 60_000.0)  # whatever the machine's pace
+def test_no_client_about_to_send_a_request_is_closed_to_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against new connections that displace one another: each displaced client reconnects at once and
+    displaces the next."""
+    monkeypatch.setattr(frontend, "MIN_IDLE_MS", 60_000.0)  # whatever the speed of the machine
 
     async def test() -> None:
         async with Rig(limits={"sockets": 44}) as rig:
             frontend = rig.host.frontend
             clients = await asyncio.gather(*(rig.connect() for _ in range(60)))
-            await until(lambda: not frontend.accepting)  # as many as there is room for, and none has asked
+            # the limit is reached, and no client has sent a request
+            await until(lambda: not frontend.accepting)
 
             async def once(client: Client) -> Seen | None:
                 client.send()
@@ -407,7 +413,7 @@
     run(test())
 
 
-def test_one_whose_request_lies_unread_makes_no_room() -> None:
+def test_a_client_with_an_unread_request_is_not_closed_to_make_room() -> None:
     async def test() -> None:
         async with Rig() as rig:
             frontend = rig.host.frontend
@@ -416,13 +422,13 @@
                 assert (await client.ask()).status == 200
             await until(lambda: len(frontend.idle) == 2)
             for kept in frontend.idle:
-                kept.active_at -= 1_000  # still for long
+                kept.active_at -= 1_000  # idle for long
             transport = next(iter(frontend.idle)).transport
             assert transport is not None
             transport.pause_reading()  # as if the loop were busy
             asked.send()
             await asyncio.sleep(0.02)
-            assert frontend.close_idle() and len(frontend.idle) == 1, "the other one goes"
+            assert frontend.close_idle() and len(frontend.idle) == 1, "the other one is closed"
             transport.resume_reading()
             seen = await asked.receive()
             assert seen is not None and seen.status == 200
