--- a/tests/door/hosted.py
+++ b/tests/door/hosted.py
@@ -1,4 +1,4 @@
-"""A hosted door before scripted boxes: two tenants, four routes, one of them keyed."""
+"""A hosted gateway in front of scripted nodes: two tenants and four routes, one of them keyed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class HostedRig(Rig):
-    """The proxy with a hosted door, without the administration."""
+    """The proxy with a hosted gateway, without the administration API."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         return key
 
     def change(self, tenant: str, **changes: object) -> None:
-        """Changes a tenant, as the administration does."""
+        """Changes a tenant as the administration API does."""
         before = self.directory.entries[tenant].tenant
         self.directory.put(replace(before, version=before.version + 1, **changes), 0.0)  # type: ignore[arg-type]
 
@@ -75,7 +75,7 @@
         body: bytes = b"",
         host: bytes = b"Host: door\r\n",
     ) -> bytes:
-        """The bytes of a request."""
+        """Returns the bytes of a request."""
         length = b"Content-Length: %d\r\n" % len(body) if body else b""
         return b"%b %b HTTP/1.1\r\n%bAuthorization: Bearer %b\r\n%b%b\r\n%b" % (
             method,
--- a/tests/door/test_fuzz.py
+++ b/tests/door/test_fuzz.py
@@ -1,7 +1,9 @@
-"""Seeded mutations of requests against both doors, read a second time by a strict parser of another make.
+"""Seeded mutations of requests to the platform's and the hosted proxy, parsed a second time by h11, a strict
+parser.
 
-Two things must hold whatever comes: each request that a box is sent is one that h11 reads in the client's
-bytes too, with the same method, target and body; and what the proxy wrote is one well-formed request to h11.
+Two properties must hold for any input: each request that reaches a node is one that h11 finds in the client's
+bytes too, with the same method, target and body; and the proxy sends only requests that are well formed to
+h11.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Read:
-    """One request as somebody read it."""
+    """One request as a parser read it."""
 
     method: bytes
     target: bytes
@@ -35,10 +37,10 @@
 
 
 def read_by_h11(data: bytes, hosted: bool) -> list[Read]:
-    """The whole requests in a client's bytes, up to the first that h11 does not accept.
+    """Returns the complete requests in a client's bytes, up to the first that h11 rejects.
 
-    Two things that the proxy takes and h11 does not are put right first: several spaces behind a method,
-    which RFC 9112 section 3 allows, and on the platform's face a request without Host.
+    Two things that the proxy accepts and h11 does not are corrected first: several spaces after a method,
+    which RFC 9112 section 3 allows, and a platform request without Host.
     """
     data = SPACES.sub(rb"\1 \2", data)
     if not hosted:
@@ -68,8 +70,8 @@
         return found
 
 
-class StrictBox(asyncio.Protocol):
-    """A box that reads with h11 and ends the test at what h11 does not accept."""
+class StrictNode(asyncio.Protocol):
+    """A node that parses with h11 and records a fault for what h11 rejects."""
 
     def __init__(self, seen: list[Read], faults: list[str]) -> None:
         self.seen, self.faults = seen, faults
@@ -174,7 +176,7 @@
 
 
 def request(rng: random.Random, usual: list[bytes], target: bytes) -> bytes:
-    """One request with some tricks; with luck it is still a good one."""
+    """Returns one request with some mutations; it may still be valid."""
     method = rng.choice([b"GET", b"GET", b"PUT", rng.choice(METHODS)])
     target = rng.choice([target, target, rng.choice(TARGETS)])
     version = rng.choice([b"HTTP/1.1"] * 6 + VERSIONS)
@@ -193,11 +195,11 @@
 
 
 async def play(rig: Rig, usual: list[bytes], target: bytes, hosted: bool) -> tuple[int, int]:
-    """Sends the rounds; how many requests the boxes were sent, and how many rounds sent one."""
+    """Sends all rounds. Returns how many requests the nodes received, and in how many rounds."""
     rng = random.Random(SEED + hosted)
     seen: list[Read] = []
     faults: list[str] = []
-    server = await asyncio.get_running_loop().create_server(lambda: StrictBox(seen, faults), "127.0.0.1", 0)
+    server = await asyncio.get_running_loop().create_server(lambda: StrictNode(seen, faults), "127.0.0.1", 0)
     rig.nodes[0].port = server.sockets[0].getsockname()[1]
     total = rounds = 0
     try:
@@ -207,7 +209,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
                 writer.write(data)
                 writer.write_eof()
-                await reader.read()  # to the end: all that was taken is answered
+                await reader.read()  # to the end: all accepted requests are answered
                 writer.transport.abort()
                 allowed = [as_sent(r, hosted) for r in read_by_h11(data, hosted)]
                 assert not faults, faults
@@ -222,7 +224,7 @@
 
 
 def as_sent(read: Read, hosted: bool) -> Read:
-    """What the proxy makes of a request, by its documentation."""
+    """Returns the request that the proxy forwards for a request, as documented."""
     if not hosted:
         return read
     try:
@@ -233,39 +235,39 @@
     return Read(read.method, b"/api/alfa" + target.path.encode() + query, read.body)
 
 
-class Still(Rig):
-    """A rig whose only box is another server's."""
+class RigWithRunningNode(Rig):
+    """A rig whose only node is a server started elsewhere."""
 
-    async def __aenter__(self) -> Still:
-        start, self.nodes[0].start = self.nodes[0].start, _nothing  # type: ignore[method-assign]
+    async def __aenter__(self) -> RigWithRunningNode:
+        start, self.nodes[0].start = self.nodes[0].start, _already_started  # type: ignore[method-assign]
         await super().__aenter__()
         self.nodes[0].start = start  # type: ignore[method-assign]
         return self
 
 
-class StillHosted(HostedRig):
-    async def __aenter__(self) -> StillHosted:
-        self.nodes[0].start = _nothing  # type: ignore[method-assign]
+class HostedRigWithRunningNode(HostedRig):
+    async def __aenter__(self) -> HostedRigWithRunningNode:
+        self.nodes[0].start = _already_started  # type: ignore[method-assign]
         await super().__aenter__()
         return self
 
 
-async def _nothing(port: int = 0) -> None:
-    """The box runs already."""
+async def _already_started(port: int = 0) -> None:
+    """Starts nothing: the node runs already."""
 
 
-def test_boxes_are_sent_only_what_another_parser_reads_alike_on_the_platform_s_face() -> None:
+def test_platform_requests_are_forwarded_as_another_parser_reads_them() -> None:
     async def test() -> None:
         usual = [b"Host: a\r\n", b"X-Call-Id: 1\r\n", b"X-Call-Class: read\r\n"]
-        total, rounds = await play(Still(), usual, b"/api/00aa", False)
-        assert rounds > ROUNDS / 10 and total > rounds, "enough of them are good, and some come in pairs"
+        total, rounds = await play(RigWithRunningNode(), usual, b"/api/00aa", False)
+        assert rounds > ROUNDS / 10 and total > rounds, "enough of them are valid, and some are pipelined"
 
     run(test(), 60.0)
 
 
-def test_boxes_are_sent_only_what_another_parser_reads_alike_on_the_hosted_face() -> None:
+def test_hosted_requests_are_forwarded_as_another_parser_reads_them() -> None:
     async def test() -> None:
-        rig = StillHosted()
+        rig = HostedRigWithRunningNode()
         usual = [
             b"Host: a\r\n",
             b"Authorization: Bearer %b\r\n" % rig.tokens["alfa"].encode(),
--- a/tests/door/test_hosted_door.py
+++ b/tests/door/test_hosted_door.py
@@ -1,4 +1,5 @@
-"""The hosted door over sockets: framing, target, host and field tricks, and what a box is sent for them."""
+"""Requests to the hosted gateway with manipulated framing, target, host and fields, and what a node receives
+for them."""
 
 from __future__ import annotations
 
@@ -25,7 +26,7 @@
 
 
 def put(lines: bytes, body: bytes) -> Build:
-    """A PUT whose framing is among the lines."""
+    """Returns a PUT whose framing is among the lines."""
     return lambda rig: rig.raw(method=b"PUT", fields=KEYED + lines) + body
 
 
@@ -37,7 +38,8 @@
     return lambda rig: rig.raw(host=lines)
 
 
-# name, request, status, line at the box (none: nothing is sent), fields there (empty: absent), body there
+# name, request, status, request line at the node (None: nothing is sent), fields there (empty: absent), body
+# there
 Row = tuple[str, Build, int, str | None, dict[str, str], bytes]
 NO: tuple[None, dict[str, str], bytes] = (None, {}, b"")
 ROWS: list[Row] = [
@@ -214,12 +216,12 @@
 ]
 
 
-def test_there_are_as_many_rows_as_names() -> None:
+def test_row_names_are_unique() -> None:
     assert len({row[0] for row in ROWS}) == len(ROWS) >= 60
 
 
 @pytest.mark.parametrize("row", ROWS, ids=[row[0] for row in ROWS])
-def test_what_comes_to_the_hosted_door(row: Row) -> None:
+def test_requests_to_the_hosted_gateway(row: Row) -> None:
     _, build, status, line, expected, body = row
 
     async def test() -> None:
@@ -241,7 +243,7 @@
             other = await rig.connect()
             other.writer.write(rig.raw(tenant="beta"))
             served = await other.receive()
-            assert served is not None and served.status == 200, "others are served as before"
+            assert served is not None and served.status == 200, "other clients are served as before"
             assert rig.directory.shares.in_hand == 0
             assert all(e.usage.bytes == 0 for e in rig.directory.entries.values())
 
--- a/tests/door/test_platform_door.py
+++ b/tests/door/test_platform_door.py
@@ -1,4 +1,4 @@
-"""Framing, targets and fields at the platform's door: what the client gets, and what a box is sent."""
+"""Framing, targets and fields of platform requests: what the client receives, and what a node is sent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
-# name, bytes, status, line at the box (none: nothing is sent), fields that the box must see, body at the box
+# name, bytes, status, request line at the node (None: nothing is sent), fields that the node must see, body
+# at the node
 Row = tuple[str, bytes, int, str | None, dict[str, str], bytes]
 ROWS: list[Row] = [
     ("plain", get(), 200, "GET /api/00aa HTTP/1.1", {"x-call-id": "1"}, b""),
@@ -177,7 +178,7 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=[row[0] for row in ROWS])
-def test_what_comes_to_the_platform_s_door(row: Row) -> None:
+def test_platform_requests(row: Row) -> None:
     _, data, status, line, fields, body = row
 
     async def test() -> None:
@@ -192,6 +193,6 @@
                 assert got[0].headers.get(name, "") == value
             if got:
                 assert got[0].body == body
-            assert (await rig.ask()).status == 200, "others are served as before"
+            assert (await rig.ask()).status == 200, "other clients are served as before"
 
     run(test())
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -1,4 +1,5 @@
-"""Requests of every kind leave nothing for the cyclic collector, whose full runs stop the loop."""
+"""Requests of every kind leave nothing for the cyclic garbage collector, whose full collections stop the
+loop."""
 
 from __future__ import annotations
 
@@ -28,12 +29,12 @@
     writer.write(answer(b"", status="500 Internal Server Error"))
 
 
-async def turn_away(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def shed(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(answer(b"", status="503 Service Unavailable", X_Rejected="1"))
 
 
 async def hang(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Says nothing; the proxy closes."""
+    """Sends nothing; the proxy closes the connection."""
 
 
 async def long_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -48,8 +49,8 @@
     await rig.ask(X_Budget="0.01")
 
 
-async def ask_unheard(rig: Rig) -> None:
-    await rig.ask(X_Call_Class="unheard")
+async def ask_for_unknown_class(rig: Rig) -> None:
+    await rig.ask(X_Call_Class="unknown")
 
 
 async def ask_and_leave(rig: Rig) -> None:
@@ -64,9 +65,9 @@
     ("served", serve_value, ask),
     ("reset", reset, ask),
     ("error", err, ask),
-    ("turned away", turn_away, ask),
+    ("shed", shed, ask),
     ("timed out", hang, ask_for_short),
-    ("refused", serve_value, ask_unheard),
+    ("refused", serve_value, ask_for_unknown_class),
     ("left", hang, ask_and_leave),
     ("streamed", long_answer, ask),
 ]
@@ -74,7 +75,8 @@
 
 @contextmanager
 def uncollected() -> Iterator[Counter[str]]:
-    """Filled at its end with our objects of the meantime that only the collector could free, by kind."""
+    """Yields a counter, filled at the end with the notchflow objects that only the collector could free, by
+    type."""
     left: Counter[str] = Counter()
     gc.collect()
     gc.disable()
@@ -101,20 +103,20 @@
                 for _ in range(ROUNDS):
                     await one(rig)
                 await until(lambda: not rig.host.active_requests)
-                rig.host.timers.clear()  # as when they have all come due
+                rig.host.timers.clear()  # as when all of them have fired
             assert not left
 
     run(test())
 
 
 async def by_kind(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Does what the request's X-Kind says; a hang is one only for the first copy of a request."""
+    """Responds as the request's X-Kind says; a hang applies only to the first attempt of a request."""
     kind, call = seen.headers["x-kind"], seen.headers["x-call-id"]
     if kind in ("hang", "time out") and (call not in hung or kind == "time out"):
         hung.add(call)
         return
     hung.discard(call)
-    await {"reset": reset, "error": err, "turn away": turn_away, "long": long_answer}.get(kind, serve_value)(
+    await {"reset": reset, "error": err, "shed": shed, "long": long_answer}.get(kind, serve_value)(
         seen, writer
     )
 
@@ -124,12 +126,12 @@
     ("served", 200),
     ("reset", 2),
     ("error", 2),
-    ("turn away", 2),
+    ("shed", 2),
     ("long", 3),
     ("hang", 4),
     ("time out", 1),
     ("leave", 4),
-    ("unheard", 3),
+    ("unknown", 3),
     ("put", 6),
     ("body", 4),
     ("pipeline", 4),
@@ -137,7 +139,7 @@
 
 
 async def mixed_client(rig: Rig, rng: random.Random, numbers: Iterator[int], seen: Counter[str]) -> None:
-    """Asks for one kind after the other, on a new connection wherever the last one ended."""
+    """Sends one request after the other, and reconnects wherever the connection has ended."""
     client = await rig.connect()
     for number in numbers:
         kind = rng.choices([k for k, _ in MIX], [n for _, n in MIX])[0]
@@ -145,7 +147,7 @@
             "X_Kind": kind,
             "X_Call_Id": f"{number:016x}",
             "path": f"/api/{number % 500:016x}",
-            "X_Call_Class": "unheard" if kind == "unheard" else "read",
+            "X_Call_Class": "unknown" if kind == "unknown" else "read",
             "X_Budget": "0.01" if kind == "time out" else "0.4",
         }
         if kind in ("put", "body"):
@@ -169,7 +171,7 @@
 
 
 def test_a_mix_of_all_kinds_leaves_nothing_for_the_collector() -> None:
-    """3,000 requests; as many as NOTCHFLOW_REQUESTS says where it is set (the full run is 100,000)."""
+    """Sends 3,000 requests, or as many as NOTCHFLOW_REQUESTS says (the full run is 100,000)."""
     count, clients = int(os.environ.get("NOTCHFLOW_REQUESTS", "3000")), 16
 
     async def test() -> None:
@@ -187,16 +189,16 @@
                     *(mixed_client(rig, random.Random(i), numbers, seen) for i in range(clients))
                 )
                 await until(lambda: not rig.host.active_requests)
-                assert rig.host.buffered_bytes == 0, "no body is counted for good"
-                assert len(rig.host.timers) < 20, "no request's timer stays"
+                assert rig.host.buffered_bytes == 0, "no body stays counted"
+                assert len(rig.host.timers) < 20, "no timer of a request is left"
                 assert not rig.host.balancer.pending and rig.host.balancer.fleet.in_flight == 0
             statuses = Counter(o.status for o in outcomes)
             assert not left
-            assert streams and seen["left"] and seen["unheard: 503"] and not seen["lost"]
+            assert streams and seen["left"] and seen["unknown: 503"] and not seen["lost"]
             assert (
                 not {Status.OK, Status.ERROR, Status.FULL, Status.RESET, Status.TIMEOUT, Status.CANCELLED}
                 - statuses.keys()
             )
-            assert any(o.attempt > 0 and o.status is Status.OK for o in outcomes), "second copies served"
+            assert any(o.attempt > 0 and o.status is Status.OK for o in outcomes), "retries or hedges served"
 
     run(test(), patience_s=60.0 + count / 200)
