--- a/notchflow/logs.py
+++ b/notchflow/logs.py
@@ -18,6 +18,7 @@
         self.last_logged: dict[str, tuple[float, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Returns whether the record is logged."""
         logged_at, suppressed = self.last_logged.get(record.msg, (-MIN_REPEAT_INTERVAL_S, 0))
         now = time.monotonic()
         if now < logged_at + MIN_REPEAT_INTERVAL_S:
--- a/notchflow/net/client.py
+++ b/notchflow/net/client.py
@@ -197,7 +197,7 @@
             try:
                 self._handle(request)
             except Exception:
-                log.exception("a request failed")
+                log.exception("unexpected error in a request")
                 self.fail(request, 502)
             if self.pipeline_full and not self.queued:
                 self.pipeline_full = False
--- a/notchflow/net/request_reader.py
+++ b/notchflow/net/request_reader.py
@@ -70,7 +70,7 @@
 
 
 class RequestReader(asyncio.Protocol):
-    """The reading half of a client connection: parses requests into the queue `queued`."""
+    """The reading half of a client connection: parses requests and appends them to `queued`."""
 
     __slots__ = (
         "frontend",
--- a/tests/door/test_platform_door.py
+++ b/tests/door/test_platform_door.py
@@ -76,7 +76,7 @@
         b"abc",
     ),
     (
-        "connection names the class and caller",
+        "connection names X-Call-Class and X-Caller",
         get(fields=ID + b"X-Caller: t\r\nConnection: X-Call-Class, X-Caller\r\n"),
         200,
         "GET /api/00aa HTTP/1.1",
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -69,7 +69,7 @@
     assert shares.descriptor_limit(300) == 300
 
 
-def learned() -> tuple[Any, dict[str, Any]]:
+def trained_balancer() -> tuple[Any, dict[str, Any]]:
     balancer = make_balancer()
     for number in range(400):
         send = sends(
@@ -83,9 +83,9 @@
 
 
 def test_the_policy_starts_from_the_state_of_another() -> None:
-    old, told = learned()
+    old, exported = trained_balancer()
     new = make_balancer(now=50_000)
-    new.restore_state(50_000, told)
+    new.restore_state(50_000, exported)
     assert new.fleet.class_latency_ms == old.fleet.class_latency_ms
     assert (
         new.hot_keys.topk.counters == old.hot_keys.topk.counters
@@ -111,15 +111,15 @@
     ],
 )
 def test_a_malformed_state_changes_nothing(change: dict[str, Any]) -> None:
-    _, told = learned()
+    _, exported = trained_balancer()
     new = make_balancer()
     before = new.export_state(0)
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
-        new.restore_state(0, told | change)
+        new.restore_state(0, exported | change)
     assert new.export_state(0) == before
 
 
-async def successor(rig: Rig, folder: Path, listener: socket.socket) -> Host:
+async def start_successor(rig: Rig, folder: Path, listener: socket.socket) -> Host:
     """Starts a second host as another process of the same proxy would. It waits for the state of the first
     host, which here runs on the same loop."""
     config = replace(
@@ -138,8 +138,8 @@
 Test = Callable[[Rig, Path, socket.socket], Any]
 
 
-def replaced(tmp_path: Path, test: Test) -> None:
-    async def whole() -> None:
+def run_with_predecessor(tmp_path: Path, test: Test) -> None:
+    async def play() -> None:
         listener = socket.create_server(ANY)
         async with Rig(serve_value, serve_value, limits={"accept_fd": os.dup(listener.fileno())}) as rig:
             rig.host.handover = Handover(rig.host, str(tmp_path), "n0")
@@ -148,7 +148,7 @@
             rig.host.handover.close()
         listener.close()
 
-    run(whole())
+    run(play())
 
 
 def close(host: Host) -> None:
@@ -181,7 +181,7 @@
         busy.send()
         half.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
         await until(lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients))
-        new = await successor(rig, folder, listener)
+        new = await start_successor(rig, folder, listener)
         assert (
             len(new.listed_nodes) == 2 and new.discovery.revision == 41
         ), "the list came from the old process"
@@ -203,28 +203,28 @@
         assert new.metrics.classes["read"].fulfilled == 4
         close(new)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_the_old_process_goes_on_if_the_new_one_dies(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
-        whole = rig.host.descriptor_limit
-        first = await successor(rig, folder, listener)
+        total = rig.host.descriptor_limit
+        first = await start_successor(rig, folder, listener)
         await until(lambda: rig.host.handover and rig.host.handover.links)
-        assert rig.host.descriptor_limit < whole
+        assert rig.host.descriptor_limit < total
         close(first)
         await until(lambda: rig.host.handover and not rig.host.handover.links)
-        assert rig.host.descriptor_limit == whole and (await rig.ask()).status == 200
-        second = await successor(rig, folder, listener)
+        assert rig.host.descriptor_limit == total and (await rig.ask()).status == 200
+        second = await start_successor(rig, folder, listener)
         assert len(second.listed_nodes) == 2, "the old process listens again"
         close(second)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_clients_are_sent_elsewhere_if_the_new_process_dies_during_the_handover(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
-        new = await successor(rig, folder, listener)
+        new = await start_successor(rig, folder, listener)
         held = await rig.connect()
         held.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
         await until(lambda: any(c.arriving for h in (rig.host, new) for c in h.frontend.clients))
@@ -235,7 +235,7 @@
         held.writer.transport.abort()
         await until(lambda: ended)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_updates_reach_the_other_processes(tmp_path: Path) -> None:
@@ -243,7 +243,7 @@
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         _, writer = await rig.calls.get()
-        new = await successor(rig, folder, listener)
+        new = await start_successor(rig, folder, listener)
         await until(lambda: rig.host.handover and rig.host.handover.links)
         draining = node_id("s-0")
         writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
@@ -251,14 +251,14 @@
         assert new.discovery.revision == 41, "its own watch keeps its revision"
         assert new.enter_standby() and new.lifecycle.draining
         await until(lambda: rig.host.lifecycle.draining)
-        third = await successor(rig, folder, listener)
+        third = await start_successor(rig, folder, listener)
         assert third.lifecycle.draining, "a process that starts beside one on standby is on standby"
         assert rig.host.activate()
         await until(lambda: not new.lifecycle.draining and not third.lifecycle.draining)
         close(third)
         close(new)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_settings_change_during_a_handover_while_discovery_is_unreachable(tmp_path: Path) -> None:
@@ -266,7 +266,7 @@
         client = await rig.connect()
         await client.ask()
         rig.discovery.stop()
-        new = await successor(rig, folder, listener)
+        new = await start_successor(rig, folder, listener)
         settings = make_settings(classes=(RequestClass("fresh", 5_000, 5_000),))
         for host in (rig.host, new):
             host.reload(replace(host.config, settings=settings))
@@ -277,18 +277,18 @@
         assert (await client.ask(x_call_class="read")).status == 503
         close(new)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_two_replacements_in_a_row(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         client = await rig.connect()
         await client.ask()
-        second = await successor(rig, folder, listener)
+        second = await start_successor(rig, folder, listener)
         ended = stopped(rig.host)
         rig.host.stop()
         await until(lambda: ended and second.frontend.clients)
-        third = await successor(rig, folder, listener)
+        third = await start_successor(rig, folder, listener)
         ended = stopped(second)
         second.stop()
         await until(lambda: ended and third.frontend.clients)
@@ -296,11 +296,11 @@
         close(third)
         close(second)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_connections_to_nodes_are_handed_over(tmp_path: Path) -> None:
-    """The new process need not connect anew for each request, just when it takes over all clients."""
+    """Guards against a new process that opens a connection per request just as it takes over all clients."""
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         clients = [await rig.connect() for _ in range(6)]
@@ -309,7 +309,7 @@
         for client in clients:
             assert (seen := await client.receive()) is not None and seen.status == 200
         dialled = sum(node.connections for node in rig.nodes)
-        new = await successor(rig, folder, listener)
+        new = await start_successor(rig, folder, listener)
         link = await link_to_successor(rig.host)
         await until(lambda: link.takes_node_connections)
         ended = stopped(rig.host)
@@ -323,7 +323,7 @@
         assert rig.host.descriptors_used == 0
         close(new)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_a_node_connection_that_cannot_be_used_is_closed(tmp_path: Path) -> None:
@@ -344,7 +344,7 @@
         assert there.recv(1) == b"" and rig.host.descriptors_used == used
         there.close()
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def test_transfers_are_counted_before_the_next_usage_report() -> None:
@@ -378,7 +378,7 @@
         there.close()
         close(host)
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 async def link_to_successor(host: Host) -> HandoverLink:
@@ -394,18 +394,18 @@
         other.mkdir()
         stale = HandoverSocket(str(other), "n0")
         stale.listen().close()
-        host = await successor(rig, other, listener)
+        host = await start_successor(rig, other, listener)
         assert not host.listed_nodes, "no process runs: it starts with the known list, which is empty here"
         close(host)
         malformed_peer = HandoverSocket(str(other), "n0").listen()
-        starting = asyncio.create_task(successor(rig, other, listener))
+        starting = asyncio.create_task(start_successor(rig, other, listener))
         await until(lambda: not _would_block(malformed_peer, b"nonsense of some length"))
         host = await starting
         assert not host.listed_nodes
         close(host)
         malformed_peer.close()
 
-    replaced(tmp_path, test)
+    run_with_predecessor(tmp_path, test)
 
 
 def _would_block(listener: socket.socket, data: bytes) -> bool:
--- a/tests/operations/test_metrics.py
+++ b/tests/operations/test_metrics.py
@@ -15,7 +15,7 @@
 
 
 def counts(text: str) -> dict[tuple[str, str], int]:
-    return {(name, word): int(n) for name, word, n in LINE.findall(text)}
+    return {(name, result): int(n) for name, result, n in LINE.findall(text)}
 
 
 def test_every_class_is_there_from_the_start_and_labels_are_escaped() -> None:
@@ -69,14 +69,14 @@
                 path=f"/api/{number:016x}", x_call_class=cls, x_call_id=f"{number:x}", x_budget="0.05"
             )
             got = await client.receive()
-            word = (
+            result = (
                 "faulted"
                 if got is None or got.status not in (200, 503)
                 else "fulfilled"
                 if got.status == 200
                 else "throttled"
             )
-            seen["unknown" if cls == "strange" else cls, word] += 1
+            seen["unknown" if cls == "strange" else cls, result] += 1
             if got is None or got.headers.get("connection") == "close":
                 client.reset()
                 return await rig.connect()
@@ -92,9 +92,9 @@
             await until(lambda: rig.host.metrics.open == 0)
             got = counts(rig.host.metrics_text())
             assert sum(seen.values()) == clients * each
-            for (cls, word), number in seen.items():
-                assert got[cls, word] == number, (cls, word)
-            relayed = sum(n for (_, word), n in got.items() if word == "relayed")
+            for (cls, result), number in seen.items():
+                assert got[cls, result] == number, (cls, result)
+            relayed = sum(n for (_, result), n in got.items() if result == "relayed")
             assert relayed == rig.sent
             assert sum(c.total for c in rig.host.metrics.classes.values()) == clients * each
 
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -53,7 +53,7 @@
     return data
 
 
-BROKEN = {
+FAULTY_FILES = {
     "empty": "",
     "cut off": json.dumps(FILE)[:-30],
     "a list": "[]",
@@ -74,7 +74,7 @@
 
 
 @pytest.fixture
-def written(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def config_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(FILE))
     monkeypatch.setenv("ROUTER_CONFIG", str(path))
@@ -83,11 +83,11 @@
     return path
 
 
-@pytest.mark.parametrize("fault", BROKEN)
-def test_a_faulty_file_is_rejected_as_a_whole_with_its_path(fault: str, written: Path) -> None:
+@pytest.mark.parametrize("fault", FAULTY_FILES)
+def test_a_faulty_file_is_rejected_as_a_whole_with_its_path(fault: str, config_file: Path) -> None:
     running = load(os.environ)
-    written.write_text(BROKEN[fault])
-    with pytest.raises(ConfigError, match=str(written)):
+    config_file.write_text(FAULTY_FILES[fault])
+    with pytest.raises(ConfigError, match=str(config_file)):
         reload(os.environ, running.key_paths)
 
 
@@ -112,12 +112,12 @@
     ],
 )
 def test_an_invalid_value_is_reported_by_its_name(
-    given: dict[str, Any], expected: str, written: Path
+    given: dict[str, Any], expected: str, config_file: Path
 ) -> None:
-    written.write_text(json.dumps(FILE | given))
+    config_file.write_text(json.dumps(FILE | given))
     with pytest.raises(ConfigError) as caught:
         load(os.environ)
-    assert str(caught.value).startswith(f"ROUTER_CONFIG: {written}: {expected}")
+    assert str(caught.value).startswith(f"ROUTER_CONFIG: {config_file}: {expected}")
 
 
 def test_additional_keys_and_keys_of_single_classes_are_not_required() -> None:
@@ -129,19 +129,21 @@
     assert missing_key_paths(running_paths, FILE | {"more": 1}) == []
 
 
-def test_sighup_applies_a_file_or_changes_nothing(written: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_sighup_applies_a_file_or_changes_nothing(
+    config_file: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     async def test() -> None:
         async with Rig() as rig:
             rig.host.config = replace(
                 load(os.environ), listen=rig.host.config.listen, discovery=rig.host.config.discovery
             )
             before = rig.host.settings
-            for fault in BROKEN.values():
-                written.write_text(fault)
+            for fault in FAULTY_FILES.values():
+                config_file.write_text(fault)
                 on_sighup(rig.host)
-            assert rig.host.settings is before and rig.host.metrics.cfg_invalid == len(BROKEN)
+            assert rig.host.settings is before and rig.host.metrics.cfg_invalid == len(FAULTY_FILES)
             assert (await rig.ask()).status == 200
-            written.write_text(
+            config_file.write_text(
                 json.dumps(
                     changed(Classes=[CLASS, CLASS | {"Name": "fresh"}])
                     | {"discovery": f"127.0.0.1:{rig.discovery.port}"}
@@ -156,7 +158,7 @@
 
     with caplog.at_level(logging.ERROR):
         run(test())
-    assert len([r for r in caplog.records if r.name == "notchflow.net.process"]) == len(BROKEN)
+    assert len([r for r in caplog.records if r.name == "notchflow.net.process"]) == len(FAULTY_FILES)
 
 
 def test_a_changed_idle_timeout_of_connections_is_applied() -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -15,14 +15,14 @@
 ANY = ("127.0.0.1", 0)
 
 
-async def dial(rig: Rig) -> Client:
+async def connect(rig: Rig) -> Client:
     console = rig.host.console
     assert console is not None and console.listener is not None
     return Client(*await asyncio.open_connection(*console.listener.getsockname()))
 
 
-async def call(rig: Rig, method: str, path: str) -> Seen:
-    client = await dial(rig)
+async def request(rig: Rig, method: str, path: str) -> Seen:
+    client = await connect(rig)
     client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n".encode())
     seen = await client.receive()
     assert seen is not None and seen.headers["connection"] == "close"
@@ -37,15 +37,15 @@
 def test_each_request_and_invalid_ones() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
-            assert (await call(rig, "GET", "/status")).status == 200
+            assert (await request(rig, "GET", "/status")).status == 200
             await rig.ask()
-            metrics = (await call(rig, "GET", "/status/metrics")).body.decode()
+            metrics = (await request(rig, "GET", "/status/metrics")).body.decode()
             assert 'svc_operations{priority="read",status="fulfilled"} 1\n' in metrics
-            assert (await call(rig, "GET", "/nothing")).status == 404
-            wrong = await call(rig, "GET", "/standby")
+            assert (await request(rig, "GET", "/nothing")).status == 404
+            wrong = await request(rig, "GET", "/standby")
             assert (wrong.status, wrong.headers["allow"]) == (405, "POST")
             assert (await rig.ask()).status == 200, "a request with the wrong method does nothing"
-            client = await dial(rig)
+            client = await connect(rig)
             client.writer.write(b"nonsense\r\n\r\n")
             assert (await read_message(client.reader) or Seen("x 0", {}, b"")).status == 400
 
@@ -55,10 +55,10 @@
 def test_silent_connections_keep_no_others_out() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
-            silent = [await dial(rig) for _ in range(MAX_CONNECTIONS * 3)]
+            silent = [await connect(rig) for _ in range(MAX_CONNECTIONS * 3)]
             for half in silent[::2]:
                 half.writer.write(b"GET /sta")
-            assert (await call(rig, "GET", "/status")).status == 200
+            assert (await request(rig, "GET", "/status")).status == 200
             console = rig.host.console
             assert console is not None
             assert len(console.connections) <= MAX_CONNECTIONS
@@ -83,7 +83,7 @@
             rig.host.metrics.add_classes(f"class-{n}" for n in range(40_000))
             text = rig.host.metrics_text()
             assert len(text) > 8 << 20
-            received = (await call(rig, "GET", "/status/metrics")).body.decode()
+            received = (await request(rig, "GET", "/status/metrics")).body.decode()
             assert without_age(received) == without_age(text)
 
     run(test())
@@ -94,7 +94,7 @@
         async with rig_with_console() as rig:
             used, idle = await rig.connect(), await rig.connect()
             assert (await used.ask()).status == (await idle.ask()).status == 200
-            assert (await call(rig, "POST", "/standby")).status == 200
+            assert (await request(rig, "POST", "/standby")).status == 200
             ready = await rig.ask(path="/health/ready")
             assert ready.status == 503
             asked = await used.ask()
@@ -103,8 +103,8 @@
             rig.host.lifecycle.entered_at -= 1_600
             assert await idle.receive() is None, "idle connections are closed"
             await until(lambda: not rig.host.frontend.clients)
-            assert (await call(rig, "POST", "/standby")).status == 200
-            assert (await call(rig, "POST", "/active")).status == 200
+            assert (await request(rig, "POST", "/standby")).status == 200
+            assert (await request(rig, "POST", "/active")).status == 200
             assert (await rig.ask(path="/health/ready")).status == 200
             assert "connection" not in (await rig.ask()).headers
 
@@ -119,8 +119,8 @@
             held.send("PUT", body=None, content_length="5")
             await until(lambda: any(c.arriving for c in rig.host.frontend.clients))
             rig.host.stop()
-            assert (await call(rig, "POST", "/active")).status == 409
-            assert (await call(rig, "GET", "/status")).status == 503
+            assert (await request(rig, "POST", "/active")).status == 409
+            assert (await request(rig, "GET", "/status")).status == 503
             rig.host.stop_deadline = float("inf")
 
     run(test())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -285,16 +285,16 @@
 
     async def test() -> None:
         async with Rig() as rig:
-            slow, still = [await rig.connect() for _ in range(2)]
+            slow, stalled = [await rig.connect() for _ in range(2)]
             rig.host.timers.clear()
-            for client in (slow, still):
+            for client in (slow, stalled):
                 client.send("PUT", body=None, content_length="300000", idempotency_key="1")
             slow.writer.write(b"x" * 200_000)
             clients = rig.host.frontend.clients
             await until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
             began = max(c.request_due_since or 0.0 for c in clients)
             rig.host.frontend.sweep(began + 3_100)
-            seen = await still.receive()
+            seen = await stalled.receive()
             assert seen is not None and seen.status == 408
             slow.writer.write(b"x" * 100_000)
             seen = await slow.receive()
