--- a/notchflow/net/host.py
+++ b/notchflow/net/host.py
@@ -79,7 +79,7 @@
     # -- start and configuration
     def start(self) -> None:
         """Applies the last known list of nodes, or the predecessor's state, then starts to listen. An OSError
-        says which address cannot be bound."""
+        says that an address cannot be bound."""
         state = self.handover.request_state() if self.handover is not None else None
         if state is None or not self._restore_state(state):
             self.apply(self.config.known, ListKind.CACHED)
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -69,7 +69,8 @@
     assert shares.descriptor_limit(300) == 300
 
 
-def trained_balancer() -> tuple[Any, dict[str, Any]]:
+def learned() -> tuple[Any, dict[str, Any]]:
+    """Returns a balancer that has learned from outcomes, and the state that it exports."""
     balancer = make_balancer()
     for number in range(400):
         send = sends(
@@ -83,7 +84,7 @@
 
 
 def test_the_policy_starts_from_the_state_of_another() -> None:
-    old, exported = trained_balancer()
+    old, exported = learned()
     new = make_balancer(now=50_000)
     new.restore_state(50_000, exported)
     assert new.fleet.class_latency_ms == old.fleet.class_latency_ms
@@ -111,7 +112,7 @@
     ],
 )
 def test_a_malformed_state_changes_nothing(change: dict[str, Any]) -> None:
-    _, exported = trained_balancer()
+    _, exported = learned()
     new = make_balancer()
     before = new.export_state(0)
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -247,7 +247,7 @@
                 client.reset()
             await until(lambda: not rig.host.frontend.clients)
             assert not rig.host.frontend.idle and not rig.host.frontend.close_idle()
-            for _ in range(40):  # they keep their connections, but not their descriptors
+            for _ in range(40):  # they stay connected; idle ones are closed for new ones
                 assert (await rig.ask()).status == 200
             assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
