--- a/notchflow/cluster/__init__.py
+++ b/notchflow/cluster/__init__.py
@@ -1,1 +1,5 @@
-"""What instances of the service know of one another: cores, and `edge.py` and `identity.py` with the I/O."""
+"""Fleet membership, shared token budgets and agreement between instances of the service.
+
+Modules take time and messages as arguments and do no I/O, except `transport.py`, `identity.py`, `history.py`
+and `histories.py`.
+"""
--- a/notchflow/cluster/actions.py
+++ b/notchflow/cluster/actions.py
@@ -1,4 +1,4 @@
-"""What the core of members asks of its edge, and what it tells. Pure."""
+"""Actions that the membership protocol returns for the transport to perform. No I/O."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Send this to a member, by its name; `address` is what it says of itself, the book goes before it.
-    `back`: whoever sent what this answers gets it instead, where the book does not know the name."""
+    """Send a message to a member. `address` is the one that the member advertises; the address book overrides
+    it. `reply_to_source`: send it to the source of the message that it answers, unless the book has the
+    name."""
 
     name: str
     address: str
     body: Message
-    back: bool = False
+    reply_to_source: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """Open a connection, send this whole view and hand in what is answered. Without a name: a seed."""
+    """Open a connection, send a full view and deliver the reply. An empty name means a seed."""
 
     name: str
     address: str
@@ -31,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistIncarnation:
-    """Make this life durable before anything is sent under it."""
+    """Make this incarnation durable before anything is sent under it."""
 
     incarnation: Incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """For the log and the history: what, of whom, and what more there is to it."""
+    """An event for the log and the history: its kind, the member concerned, and details."""
 
     what: str
     subject: str = ""
--- a/notchflow/cluster/budgets.py
+++ b/notchflow/cluster/budgets.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
+from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 
 TENANTS_A_MESSAGE: Final = 10
@@ -189,7 +189,7 @@
         self.part = Part(rate / count, burst / count) if me in self.owners else None
 
     def out(self, now: float) -> int:
-        """Lent tokens that may still be used."""
+        """LentTokens tokens that may still be used."""
         return out_of(self.loans, now)
 
     def fill(self, now: float, opens_at: float) -> None:
@@ -360,7 +360,7 @@
             if account is not None and account.part is not None:
                 tokens = self._lend(account, now, (borrower, life), want.number, one)
                 if tokens:
-                    lent.append(Lent(one.key, tokens))
+                    lent.append(LentTokens(one.key, tokens))
         return LoanGrant(want.number, tuple(lent))
 
     def _lend(
--- a/notchflow/cluster/concurrency_limits.py
+++ b/notchflow/cluster/concurrency_limits.py
@@ -22,7 +22,7 @@
 from typing import Final
 
 from notchflow.cluster.budgets import NUMBERS, OWNERS_A_TICK, SPENT_A_MESSAGE, Loan, out_of, owners
-from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
+from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 
 FULL: Final = 0.75  # of the places there are: from here on more are asked for
@@ -229,7 +229,7 @@
             if loan is not None:
                 loan.release(one.spent)
                 if want.number in loan.lots:  # asked twice
-                    lent.append(Lent(one.key, loan.lots[want.number][1]))
+                    lent.append(LentTokens(one.key, loan.lots[want.number][1]))
                     continue
             out = account.out(now)
             places = min(one.tokens, account.part // 2 - out, account.part - account.own - out)
@@ -238,7 +238,7 @@
                     now + self.terms.outstanding_ms,
                     places,
                 )
-                lent.append(Lent(one.key, places))
+                lent.append(LentTokens(one.key, places))
         return LoanGrant(want.number, tuple(lent))
 
     def handle_loan_grant(self, now: float, owner: str, grant: LoanGrant) -> None:
--- a/notchflow/cluster/contacts.py
+++ b/notchflow/cluster/contacts.py
@@ -1,4 +1,4 @@
-"""What an instance knows of its links from its own round trips, and its standing from these alone. Pure."""
+"""Reachability of the other members, and the standing, from this instance's own round trips. No I/O."""
 
 from __future__ import annotations
 
@@ -12,71 +12,79 @@
 
 
 class Link(Enum):
-    """How one other instance is heard."""
+    """State of the link to another member."""
 
-    WHOLE = "whole"  # round trips
-    DEAF = "one-way"  # it is heard, but does not answer what it is asked: that does not reach it
-    CUT = "bridge"  # others reach it, this one does not
-    SILENT = "silent"  # nobody is known to reach it
+    WHOLE = "whole"  # round trips succeed
+    ONE_WAY = "one-way"  # its messages arrive, but it does not answer: ours do not reach it
+    BRIDGE = "bridge"  # other members reach it, this instance does not
+    SILENT = "silent"  # no member is known to reach it
 
 
 @dataclass(slots=True)
 class Contact:
-    """When one other was last reached, heard at all, and reached by others in this one's place."""
+    """Times of the last contacts with another member (ms)."""
 
-    acked: float = NEVER  # when what it answered was asked
-    heard_at: float = NEVER
-    through: float = NEVER
-    unanswered: float = NEVER  # when it was first heard after it last answered
+    round_trip_at: float = NEVER  # when the last probe that it acked was sent
+    heard_at: float = NEVER  # any message
+    reached_indirectly_at: float = NEVER  # ack through another member
+    unanswered_since: float = NEVER  # first message after its last ack
 
 
 class Contacts:
-    """Contacts by name over the roster, this instance left out."""
+    """Contacts with all other members of the roster, by name."""
 
-    def __init__(self, me: str, roster: Iterable[str], bound: float) -> None:
-        self.bound = bound
-        self.by_name = {name: Contact() for name in roster if name != me}
+    def __init__(self, own_name: str, roster: Iterable[str], bound_ms: float) -> None:
+        self.bound_ms = bound_ms
+        self.by_name = {name: Contact() for name in roster if name != own_name}
 
-    def heard(self, name: str, now: float) -> None:
+    def record_heard(self, name: str, now: float) -> None:
+        """Records any message from a member."""
         contact = self.by_name.get(name)
         if contact is not None:
             contact.heard_at = now
-            if contact.unanswered == NEVER:
-                contact.unanswered = now
+            if contact.unanswered_since == NEVER:
+                contact.unanswered_since = now
 
-    def acked(self, name: str, asked_at: float) -> None:
-        """A round trip, good from when it was asked for: the answer may have been long on its way."""
+    def record_ack(self, name: str, sent_at: float) -> None:
+        """Records a round trip as of when the probe was sent: the ack may have been delayed."""
         contact = self.by_name.get(name)
-        if contact is not None and asked_at > contact.acked:
-            contact.acked, contact.unanswered = asked_at, NEVER
+        if contact is not None and sent_at > contact.round_trip_at:
+            contact.round_trip_at, contact.unanswered_since = sent_at, NEVER
 
-    def through(self, name: str, now: float) -> None:
+    def record_indirect_ack(self, name: str, now: float) -> None:
+        """Records that another member got an ack from this one."""
         if name in self.by_name:
-            self.by_name[name].through = now
+            self.by_name[name].reached_indirectly_at = now
 
     def reached(self, now: float) -> list[str]:
-        return [name for name, contact in self.by_name.items() if now - contact.acked <= self.bound]
+        """Names of members with a round trip within the contact bound."""
+        return [
+            name for name, contact in self.by_name.items() if now - contact.round_trip_at <= self.bound_ms
+        ]
 
     def standing(self, now: float, left: frozenset[str]) -> Standing:
-        """`left` are those that said so: of them nothing is expected, but they count in the majority."""
+        """The standing. Members that `left` are not expected to answer, but count for the majority."""
         if not self.by_name:
             return Standing.WHOLE
         reached = self.reached(now)
         if all(name in left for name in self.by_name.keys() - set(reached)):
-            more = 2 * (len(reached) + 1) > len(self.by_name) + 1
-            return Standing.WHOLE if more else Standing.MINORITY if reached else Standing.ALONE
+            majority = 2 * (len(reached) + 1) > len(self.by_name) + 1
+            return Standing.WHOLE if majority else Standing.MINORITY if reached else Standing.ALONE
         if not reached:
             return Standing.ALONE
         return Standing.MAJORITY if 2 * (len(reached) + 1) > len(self.by_name) + 1 else Standing.MINORITY
 
     def link(self, name: str, now: float, present: bool) -> Link:
-        """`present`: others hold it for alive. Before the first bound has passed nothing is known."""
+        """State of the link to a member; `present`: other members hold it alive. Meaningful only once a
+        contact bound has passed since the start."""
         contact = self.by_name[name]
-        if now - contact.acked <= self.bound:
+        if now - contact.round_trip_at <= self.bound_ms:
             return Link.WHOLE
-        heard_for = contact.heard_at - contact.unanswered if contact.unanswered != NEVER else 0.0
-        if now - contact.heard_at <= self.bound and heard_for > self.bound / 2:
-            return Link.DEAF
-        if present and now - contact.through <= self.bound:
-            return Link.CUT
+        heard_for_ms = (
+            contact.heard_at - contact.unanswered_since if contact.unanswered_since != NEVER else 0.0
+        )
+        if now - contact.heard_at <= self.bound_ms and heard_for_ms > self.bound_ms / 2:
+            return Link.ONE_WAY
+        if present and now - contact.reached_indirectly_at <= self.bound_ms:
+            return Link.BRIDGE
         return Link.SILENT
--- a/notchflow/cluster/gossip.py
+++ b/notchflow/cluster/gossip.py
@@ -1,7 +1,7 @@
-"""News on their way: each is passed on a number of times that grows with the logarithm of the fleet. Pure.
+"""Gossip queue: each update is sent a number of times that grows with the logarithm of the fleet. No I/O.
 
-As in SWIM (Das, Gupta and Motivala, DSN 2002) news ride on probes and their answers, those that have gone out
-least first; newer news of a member take the place of older.
+As in SWIM (Das, Gupta and Motivala, DSN 2002) updates are piggybacked on probes and acks, least-sent first; a
+newer update about a member replaces older ones.
 """
 
 from __future__ import annotations
@@ -9,79 +9,88 @@
 import math
 from dataclasses import dataclass
 
-from notchflow.cluster.messages import Update, size_of
+from notchflow.cluster.messages import Update, encoded_size
 
-ROOM = 900  # bytes of a datagram for news; the rest is the envelope's
+UPDATES_BYTES_MAX = 900  # of a datagram; the rest is for the envelope
 
 
 @dataclass(slots=True)
-class Item:
+class QueuedUpdate:
+    """An update, its encoded size in bytes, and how often it was sent."""
+
     update: Update
     size: int
     sent: int
 
 
-class Queue:
-    """News by member, and of a suspicion by accuser. Held by how often they went out, so that a datagram is
-    filled without looking at them all: where half of a large fleet has died there are hundreds."""
+class GossipQueue:
+    """Updates by member, and for a suspicion also by accuser.
+
+    They are grouped by how often they were sent, so that a datagram is filled without scanning all of them:
+    there are hundreds when half of a large fleet dies.
+    """
 
-    def __init__(self, repeats: int) -> None:
-        self.repeats = repeats
-        self.turns: list[dict[tuple[str, str], Item]] = [{}]  # by times sent; in each the oldest first
-        self.names: dict[str, dict[tuple[str, str], Item]] = {}
+    def __init__(self, retransmit_factor: int) -> None:
+        self.retransmit_factor = retransmit_factor
+        self.by_times_sent: list[dict[tuple[str, str], QueuedUpdate]] = [{}]  # oldest first in each
+        self.by_member: dict[str, dict[tuple[str, str], QueuedUpdate]] = {}
 
     def __len__(self) -> int:
-        return len(self.names)
+        return len(self.by_member)
 
     def put(self, update: Update) -> None:
-        """Passes this on from now on; what it covers is not passed on any more."""
+        """Queues an update and drops those that it supersedes."""
         name, rank = update.record.name, update.record.rank()
-        for key, item in list(self.names.get(name, {}).items()):
+        for key, item in list(self.by_member.get(name, {}).items()):
             if item.update.record.rank() < rank or key[1] == update.accuser:
                 self._drop(key, item)
         key = name, update.accuser
-        item = self.turns[0][key] = Item(update, size_of(update), 0)
-        self.names.setdefault(name, {})[key] = item
-
-    def _drop(self, key: tuple[str, str], item: Item) -> None:
-        del self.turns[item.sent][key]
-        of = self.names[key[0]]
-        del of[key]
-        if not of:
-            del self.names[key[0]]
-
-    def limit(self, members: int) -> int:
-        return self.repeats * max(math.ceil(math.log10(members + 1)), 1)
-
-    def take(self, members: int, first: Update | None = None, room: int = ROOM) -> tuple[Update, ...]:
-        """What the next datagram carries, in its order; `first` goes before all else and is not counted."""
+        item = self.by_times_sent[0][key] = QueuedUpdate(update, encoded_size(update), 0)
+        self.by_member.setdefault(name, {})[key] = item
+
+    def _drop(self, key: tuple[str, str], item: QueuedUpdate) -> None:
+        del self.by_times_sent[item.sent][key]
+        updates = self.by_member[key[0]]
+        del updates[key]
+        if not updates:
+            del self.by_member[key[0]]
+
+    def retransmit_limit(self, members: int) -> int:
+        """How often an update is sent in a fleet of this size."""
+        return self.retransmit_factor * max(math.ceil(math.log10(members + 1)), 1)
+
+    def take(
+        self, members: int, first: Update | None = None, bytes_left: int = UPDATES_BYTES_MAX
+    ) -> tuple[Update, ...]:
+        """Updates for the next datagram, in order; `first` goes before all others and is not counted as
+        sent."""
         chosen: list[Update] = []
         if first is not None:
             chosen.append(first)
-            room -= size_of(first)
-        sent: list[tuple[tuple[str, str], Item]] = []
-        for turn in self.turns if self.names else ():
-            for key in reversed(turn):
-                item = turn[key]
-                if item.size > room:
-                    room = 0
+            bytes_left -= encoded_size(first)
+        sent: list[tuple[tuple[str, str], QueuedUpdate]] = []
+        for updates in self.by_times_sent if self.by_member else ():
+            for key in reversed(updates):
+                item = updates[key]
+                if item.size > bytes_left:
+                    bytes_left = 0
                     break
-                room -= item.size
+                bytes_left -= item.size
                 chosen.append(item.update)
                 sent.append((key, item))
-            if not room:
+            if not bytes_left:
                 break
-        limit = self.limit(members) if sent else 0
+        times_max = self.retransmit_limit(members) if sent else 0
         for key, item in reversed(sent):
-            self._sent(key, item, limit)
+            self._mark_sent(key, item, times_max)
         return tuple(chosen)
 
-    def _sent(self, key: tuple[str, str], item: Item, limit: int) -> None:
-        if item.sent + 1 >= limit:
+    def _mark_sent(self, key: tuple[str, str], item: QueuedUpdate, times_max: int) -> None:
+        if item.sent + 1 >= times_max:
             self._drop(key, item)
             return
-        del self.turns[item.sent][key]
+        del self.by_times_sent[item.sent][key]
         item.sent += 1
-        if item.sent == len(self.turns):
-            self.turns.append({})
-        self.turns[item.sent][key] = item
+        if item.sent == len(self.by_times_sent):
+            self.by_times_sent.append({})
+        self.by_times_sent[item.sent][key] = item
--- a/notchflow/cluster/messages.py
+++ b/notchflow/cluster/messages.py
@@ -1,8 +1,8 @@
-"""What instances say to one another, and its bytes: a version, a typed body, an authentication code.
+"""Messages between instances and their encoding: a version, a typed body, an authentication tag. No I/O.
 
-Layout: one byte of version, a msgpack array [name, epoch, nonce, counter, to, body], and the first 16 bytes
-of HMAC-SHA256 (RFC 2104) over all before under the fleet's secret. Arrays may grow at their end: a reader
-ignores what it does not know and fills in what an older writer left out. Pure.
+Layout: one version byte, a msgpack array [name, [epoch, nonce], counter, to, body], and the first 16 bytes of
+HMAC-SHA256 (RFC 2104) over all of that under the fleet's secret. Arrays may grow at their end: a reader
+ignores unknown fields and uses defaults for fields that an older writer omits.
 """
 
 from __future__ import annotations
@@ -28,79 +28,79 @@
 from notchflow.cluster.model import NAMES_MAX, Incarnation, Name, Number, Record, Text
 
 VERSION: Final = 1
-DATAGRAM_MAX: Final = 1_200
-FRAME_MAX: Final = 1 << 20
-TAG: Final = 16
-MIN: Final = 1 + 8 + TAG
+DATAGRAM_BYTES_MAX: Final = 1_200
+FRAME_BYTES_MAX: Final = 1 << 20
+TAG_BYTES: Final = 16
+MESSAGE_BYTES_MIN: Final = 1 + 8 + TAG_BYTES
 SECRET_BYTES_MIN: Final = 32
 Digest = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class Update(msgspec.Struct, frozen=True, array_like=True):
-    """One piece of news; of a suspicion, whose it is."""
+    """A membership update; for a suspicion also the member that accuses."""
 
     record: Record
     accuser: Text = ""
 
 
-News = Annotated[tuple[Update, ...], msgspec.Meta(max_length=256)]
+Updates = Annotated[tuple[Update, ...], msgspec.Meta(max_length=256)]
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Are you there? Answered by an Ack of the same number."""
+    """Probe, answered by an `Ack` with the same number."""
 
     number: Number
-    view: Digest = 0  # of all that the sender holds of members
-    roster: Digest = 0
-    news: News = ()
+    view_digest: Digest = 0  # of the sender's view
+    roster_digest: Digest = 0
+    updates: Updates = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """I am; or, with `of`, that one is."""
+    """Answer to a probe. With `target`: that member acked a probe made on behalf of the receiver."""
 
     number: Number
-    view: Digest = 0
-    roster: Digest = 0
-    of: Text = ""
-    news: News = ()
+    view_digest: Digest = 0
+    roster_digest: Digest = 0
+    target: Text = ""
+    updates: Updates = ()
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Probe this one for me."""
+class PingReq(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """Asks the receiver to probe `target` on behalf of the sender."""
 
     number: Number
     target: Name
-    news: News = ()
+    updates: Updates = ()
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """It did not answer me either; but I answer you."""
+    """Answer to a `PingReq` whose target did not ack; shows that the relaying member itself responds."""
 
     number: Number
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """News that do not wait for a probe."""
+    """Updates that are sent without waiting for a probe."""
 
-    news: News = ()
+    updates: Updates = ()
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """A whole view, over TCP. The one that is asked answers with its own."""
+    """A full view, sent over TCP. The receiver of one that is not a reply answers with its own."""
 
     records: Annotated[tuple[Record, ...], msgspec.Meta(max_length=NAMES_MAX)]
     reply: bool = False
-    roster: Digest = 0
+    roster_digest: Digest = 0
 
 
 class Denial(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Nothing was taken of what you said, for this reason."""
+    """The receiver's message was rejected, with the reason."""
 
     reason: Text
 
 
 class LoanItem(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens of one budget that are asked for, and the numbers of grants of it that are used up."""
+    """Tokens requested from one budget, and the numbers of its grants that are used up."""
 
     key: Text
     tokens: Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
@@ -108,35 +108,37 @@
 
 
 class LoanRequest(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Lend me these. Answered by a LoanGrant of the same number."""
+    """Requests tokens, answered by a `LoanGrant` with the same number."""
 
     number: Number
     items: Annotated[tuple[LoanItem, ...], msgspec.Meta(max_length=64)]
-    kind: Annotated[int, msgspec.Meta(ge=0, le=255)] = 0  # of budget
+    kind: Annotated[int, msgspec.Meta(ge=0, le=255)] = 0  # of budget: tokens or concurrency slots
 
 
-class Lent(msgspec.Struct, frozen=True, array_like=True):
+class LentTokens(msgspec.Struct, frozen=True, array_like=True):
+    """Tokens lent from one budget."""
+
     key: Text
     tokens: Annotated[int, msgspec.Meta(ge=1, le=1 << 31)]
 
 
 class LoanGrant(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """These are yours, for the time that was left when you asked."""
+    """Lends tokens. Their lifetime counts from when the request was sent."""
 
     number: Number
-    lent: Annotated[tuple[Lent, ...], msgspec.Meta(max_length=64)]
+    lent: Annotated[tuple[LentTokens, ...], msgspec.Meta(max_length=64)]
     kind: Annotated[int, msgspec.Meta(ge=0, le=255)] = 0
 
 
 class MetricsRow(msgspec.Struct, frozen=True, array_like=True):
-    """A tenant's figures at one instance."""
+    """Metrics of a tenant or class at one instance."""
 
     tenant: Text
     values: Annotated[tuple[Number, ...], msgspec.Meta(max_length=64)]
 
 
 class MetricsUpdate(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """What has changed of my figures after one version and up to another. Answered by MetricsAck."""
+    """The sender's metrics that changed after one version, up to another. Answered by `MetricsAck`."""
 
     since: Number
     up_to: Number
@@ -144,7 +146,7 @@
 
 
 class MetricsAck(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """I have all of yours up to this version."""
+    """Acknowledges all of the receiver's metrics up to a version."""
 
     version: Number
 
@@ -152,7 +154,7 @@
 Message: TypeAlias = (
     Ping
     | Ack
-    | Ask
+    | PingReq
     | Nack
     | Gossip
     | Sync
@@ -175,7 +177,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """Who says it to whom, in which life, and as the how-manieth of it."""
+    """A message with its sender, the sender's incarnation and message counter, and the receiver's name."""
 
     name: Name
     incarnation: Incarnation
@@ -184,60 +186,64 @@
     body: Message
 
 
-class Foreign(Exception):
-    """Bytes that no instance of this fleet has written."""
+class ForeignMessageError(Exception):
+    """The bytes were not written by an instance of this fleet."""
 
 
-class UnknownVersion(Exception):
-    """Bytes of a version that is not known here."""
+class UnknownVersionError(Exception):
+    """The bytes have an unknown protocol version."""
 
 
-class Malformed(Exception):
-    """Bytes with the fleet's code that are no message: a fault of ours, or a later form."""
+class MalformedMessageError(Exception):
+    """Authentic bytes that do not decode: a bug, or an incompatible later format."""
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder: msgspec.msgpack.Decoder[Envelope] = msgspec.msgpack.Decoder(Envelope)
 
 
-def _code(secret: bytes, data: bytes) -> bytes:
-    return hmac.digest(secret, data, hashlib.sha256)[:TAG]
+def _tag(secret: bytes, data: bytes) -> bytes:
+    return hmac.digest(secret, data, hashlib.sha256)[:TAG_BYTES]
 
 
 def encode_message(secret: bytes, envelope: Envelope) -> bytes:
-    """The bytes of a message."""
+    """Encodes and authenticates a message."""
     data = bytes((VERSION,)) + _encode(envelope)
-    return data + _code(secret, data)
+    return data + _tag(secret, data)
 
 
 def decode_message(secret: bytes, data: bytes) -> Envelope:
-    """The message of bytes. Foreign: cut off, changed, or under another secret; UnknownVersion; Malformed."""
-    if len(data) < MIN:
-        raise Foreign(f"{len(data)} bytes")
+    """Verifies and decodes a message.
+
+    ForeignMessageError: truncated, altered, or signed with another secret; UnknownVersionError;
+    MalformedMessageError.
+    """
+    if len(data) < MESSAGE_BYTES_MIN:
+        raise ForeignMessageError(f"{len(data)} bytes, too short for a message")
     if data[0] != VERSION:
-        raise UnknownVersion(str(data[0]))
-    body = data[:-TAG]
-    if not hmac.compare_digest(_code(secret, body), data[-TAG:]):
-        raise Foreign("another secret, or changed on the way")
+        raise UnknownVersionError(str(data[0]))
+    body = data[:-TAG_BYTES]
+    if not hmac.compare_digest(_tag(secret, body), data[-TAG_BYTES:]):
+        raise ForeignMessageError("authentication tag does not match: another secret, or altered in transit")
     try:
         return _decoder.decode(memoryview(body)[1:])
     except (msgspec.DecodeError, ValueError) as error:  # ValueError: text that is not UTF-8
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
-def size_of(update: Update) -> int:
-    """Bytes that a piece of news takes."""
+def encoded_size(update: Update) -> int:
+    """Encoded size of an update in bytes."""
     return len(_encode(update))
 
 
 def digest(text: str) -> int:
-    """63 bits that stand for a text."""
+    """A 63-bit hash of a text."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
 
 
-class Window:
-    """Which numbers of a sender's life have been seen: the newest and a bitmap of those before it (RFC 4303,
-    3.4.3). What lies further back counts as seen."""
+class ReplayWindow:
+    """Anti-replay window over the message counters of a sender's incarnation (RFC 4303, 3.4.3): the newest
+    counter and a bitmap of those before it. Counters further back count as seen."""
 
     __slots__ = ("newest", "seen")
 
@@ -247,8 +253,8 @@
         self.newest = -1
         self.seen = 0
 
-    def fresh(self, counter: int) -> bool:
-        """Whether this number comes for the first time; it is seen then."""
+    def accept(self, counter: int) -> bool:
+        """Whether this counter is new; it counts as seen afterwards."""
         if counter > self.newest:
             shift = counter - self.newest
             self.seen = ((self.seen << shift) | 1) & ((1 << self.WIDTH) - 1) if shift < self.WIDTH else 1
--- a/notchflow/cluster/model.py
+++ b/notchflow/cluster/model.py
@@ -1,6 +1,6 @@
-"""Terms that all of the fleet's cores share: lives, states, records, standing, settings. Pure.
+"""Types shared by the cluster modules: incarnations, states, records, standing, settings. No I/O.
 
-Times are milliseconds on the caller's monotonic clock. What the terms mean: docs/design/cluster.md.
+Times are milliseconds on the caller's monotonic clock. Definitions: docs/design/cluster.md.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class State(IntEnum):
-    """One instance's opinion of another; the later one covers the earlier of the same revision."""
+    """State of a member in a view; of the same revision the later state overrides the earlier."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,7 +30,7 @@
 
 
 class Standing(Enum):
-    """How much of the roster answers an instance, by its own round trips alone."""
+    """How much of the roster answers an instance, by its own round trips only."""
 
     WHOLE = "whole"
     MAJORITY = "majority"
@@ -39,7 +39,7 @@
 
 
 class Incarnation(NamedTuple):
-    """One life of an instance: what it counted up to at its start, and a number drawn then."""
+    """One run of an instance's process: its epoch, which grows with each start, and a random nonce."""
 
     epoch: Number
     nonce: Number
@@ -52,7 +52,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member: one state of one revision of one life."""
+    """A statement about a member: the state of one revision of one incarnation."""
 
     name: Name
     incarnation: Incarnation
@@ -63,13 +63,14 @@
 
     @property
     def present(self) -> bool:
-        """Whether it may be there: neither dead nor left."""
+        """Whether the member is alive or suspect."""
         return self.state <= State.SUSPECT
 
     def rank(self) -> tuple[Incarnation, bool, int, State, str, str]:
-        """A total order, so that any two instances that have seen the same records hold the same one. A later
-        life covers all of an earlier one; leaving is the last word on a life; within it a member's own newer
-        revision covers what was said of the one before."""
+        """Key of the total order by which records of one name are merged, so that instances that have seen
+        the same records hold the same one. A newer incarnation overrides an older one; leaving is final for
+        an incarnation; within it a newer revision, made by the member itself, overrides statements about an
+        older one."""
         return (
             self.incarnation,
             self.state is State.LEFT,
@@ -82,43 +83,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """How members look after one another. Bounds that follow from these are properties here, so that what is
-    shown to operators is what the code goes by."""
-
-    contact_ms: float = 2_000.0  # a round trip is worth this long, unless the roster is too large for it
-    probe_timeout_ms: float = 200.0  # a direct probe has so long, then others are asked for as long again
-    suspicion_ms: float = 1_000.0  # who is suspected has this long at least to refute it
-    helpers: int = 3  # asked to probe in one's place
-    confirmations: int = 3  # other accusers after which the shortest suspicion is enough
-    suspicion_max_factor: float = 3.0  # the longest suspicion, of the shortest
-    fanout: int = 3  # members that are told news at once
-    flush_ms: float = 20.0  # news of so long go together
-    repeats: int = 4  # times log10(members) that news are passed on
-    stall_ms: float = 100.0  # a timer that fires later than this was slept through
-    local_health_max: int = 8
-    join_ms: float = 1_000.0  # how long a start waits for somebody to know it
-    retry_ms: float = 500.0  # between tries at seeds
-    quiet_ms: float = 500.0  # views that differ while nothing has changed for so long are exchanged whole
-    spacing_ms: float = 50.0  # at least this long between two probes, however large the roster
-    spacing_max_ms: float = 200.0  # and at most this long, however small
+    """Settings of the membership protocol. The bounds that follow from them are methods here, so that
+    operators are shown the values that the code uses."""
+
+    contact_ms: float = 2_000.0  # validity of a round trip, unless a large roster needs longer
+    probe_timeout_ms: float = 200.0  # for the direct probe, then again for the indirect one
+    suspicion_ms: float = 1_000.0  # minimum time that a suspect has to refute
+    ping_req_targets: int = 3  # members asked to probe indirectly
+    confirmations: int = 3  # further accusers that reduce a suspicion to its minimum
+    suspicion_max_factor: float = 3.0  # longest suspicion as a multiple of the shortest
+    fanout: int = 3  # members that receive gossip at a time
+    gossip_delay_ms: float = 20.0  # updates of this span are sent together
+    retransmit_factor: int = 4  # times log10(members): how often an update is sent
+    stall_ms: float = 100.0  # a timer that fires later than this means a stall
+    local_health_max: int = 8  # largest multiplier of probe timeouts
+    join_timeout_ms: float = 1_000.0  # how long a start waits for an answer
+    join_retry_ms: float = 500.0  # between attempts to contact seeds
+    sync_quiet_ms: float = 500.0  # views that differ and have not changed for this long are exchanged in full
+    probe_interval_min_ms: float = 50.0  # lower bound between two probes, for any roster
+    probe_interval_max_ms: float = 200.0  # upper bound, for any roster
 
     def probe_interval_ms(self, roster: int) -> float:
-        """Milliseconds between two probes of an instance: each other one is asked three times in the contact
-        bound, within these limits."""
-        return min(max(self.contact_ms / 3 / max(roster - 1, 1), self.spacing_ms), self.spacing_max_ms)
+        """Interval between probes of an instance: within its limits, each other member is probed three times
+        per contact bound."""
+        return min(
+            max(self.contact_ms / 3 / max(roster - 1, 1), self.probe_interval_min_ms),
+            self.probe_interval_max_ms,
+        )
 
     def contact_bound_ms(self, roster: int) -> float:
-        """For how long an acknowledged round trip counts: three rounds through the roster."""
+        """How long an acked round trip is valid: at least three rounds through the roster."""
         return max(self.contact_ms, 3 * (roster - 1) * self.probe_interval_ms(roster))
 
     def suspicion_bounds_ms(self, roster: int) -> tuple[float, float]:
-        """The shortest and the longest suspicion; news take longer to go round a larger fleet."""
+        """Shortest and longest suspicion; gossip takes longer to reach all of a larger fleet."""
         shortest = self.suspicion_ms * max(1.0, math.log10(max(roster, 1)))
         return shortest, shortest * self.suspicion_max_factor
 
     def detection_bound_ms(self, roster: int) -> float:
-        """By when the death of one among living is known to all, but for one case in 1,000 (the seventh power
-        of what is left unprobed in one spacing, 1/e): probe, failure of it, suspicion, news."""
+        """Time until all members know of one member's death, except for one case in 1,000 (a member stays
+        unprobed for one interval with probability 1/e; seven intervals): probe, its failure, suspicion,
+        gossip."""
         if roster < 2:
             return 0.0
         shortest, _ = self.suspicion_bounds_ms(roster)
@@ -130,20 +135,21 @@
         )
 
     def gossip_bound_ms(self, roster: int) -> float:
-        """News go round in about so long: each who hears tells `fanout` others after `flush_ms`."""
+        """Approximate time for an update to reach all members: each sends it to `fanout` others after
+        `gossip_delay_ms`."""
         hops = math.log(max(roster, 2)) / math.log(self.fanout + 1) + 2
-        return hops * (self.flush_ms + self.probe_timeout_ms / 4)
+        return hops * (self.gossip_delay_ms + self.probe_timeout_ms / 4)
 
     def one_name_bound_ms(self, roster: int) -> float:
-        """For how long two instances of one name may both take requests, once both are linked with a third:
-        the older one is answered by nobody, asks the fleet, and is told."""
-        return self.contact_bound_ms(roster) + 2 * self.retry_ms + self.probe_timeout_ms
+        """How long two instances of one name may both accept requests once both are linked with a third: the
+        older one gets no acks, contacts the seeds, and learns of the newer incarnation."""
+        return self.contact_bound_ms(roster) + 2 * self.join_retry_ms + self.probe_timeout_ms
 
     def heal_bound_ms(self, roster: int) -> float:
-        """By when all views are equal after the links are whole: one round of probes over those held dead,
-        refutation, news, and two exchanges one after the other for what was lost of them."""
+        """Time until all views are equal after the links are restored: one round of probes of dead members,
+        refutation, gossip, and two successive exchanges for lost updates."""
         return (
             self.contact_bound_ms(roster) / 3
             + 2 * self.gossip_bound_ms(roster)
-            + 2 * (self.quiet_ms + self.probe_timeout_ms)
+            + 2 * (self.sync_quiet_ms + self.probe_timeout_ms)
         )
--- a/notchflow/cluster/probes.py
+++ b/notchflow/cluster/probes.py
@@ -1,4 +1,4 @@
-"""Whom to probe next, and the probes that are out. Pure."""
+"""Probe order and pending probes. No I/O."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 @dataclass(slots=True)
 class Probe:
-    """One probe of one member: direct first, through others after `ask_at`, failed at `due`."""
+    """A pending probe of one member: direct first, by ping-req from `indirect_at`, failed at `due_at`."""
 
     target: str
-    incarnation: Incarnation  # of the target, as it was held when asked
-    asked_at: float
-    ask_at: float
-    due: float
-    asked: bool = False  # others are probing as well
-    helpers: int = 0
+    incarnation: Incarnation  # of the target, as known when the probe was sent
+    sent_at: float
+    indirect_at: float
+    due_at: float
+    indirect_sent: bool = False  # ping-reqs were sent
+    ping_reqs: int = 0  # members asked to probe
     nacks: int = 0
-    through: bool = False  # somebody else reached it
+    reached_indirectly: bool = False  # another member got an ack
 
 
 @dataclass(slots=True)
-class Errand:
-    """A probe made in another's place."""
+class RelayedProbe:
+    """A probe made on behalf of another member (ping-req)."""
 
-    asker: str
-    number: int  # the asker's
+    requester: str
+    number: int  # sequence number of the requester's probe
     target: str
-    due: float
+    due_at: float
 
 
 @dataclass(slots=True)
-class Round:
-    """The roster in a drawn order, drawn anew after each round (SWIM, 4.3): between two probes of a member
-    lie less than two rounds."""
+class ProbeOrder:
+    """Round-robin order over the roster, shuffled after each round (SWIM, 4.3): two probes of a member are
+    less than two rounds apart."""
 
     names: list[str]
     rng: random.Random
     queue: list[str] = field(default_factory=list)
 
     def next(self, left: frozenset[str]) -> str | None:
-        """Who is probed next; nobody where all have left."""
+        """The next member to probe; None if all have left."""
         for _ in range(len(self.names) + 1):
             if not self.queue:
                 self.queue = list(self.names)
@@ -58,35 +58,43 @@
 
 
 class Probes:
-    """Probes and errands by their numbers."""
+    """Pending probes by sequence number, own and relayed."""
 
     def __init__(self, names: Iterable[str], rng: random.Random) -> None:
-        self.round = Round(list(names), rng)
-        self.out: dict[int, Probe] = {}
-        self.errands: dict[int, Errand] = {}
+        self.order = ProbeOrder(list(names), rng)
+        self.pending: dict[int, Probe] = {}
+        self.relayed: dict[int, RelayedProbe] = {}
         self.number = rng.getrandbits(32)
 
-    def begin(self, target: str, life: Incarnation | None, now: float, timeout: float, due: float) -> int:
+    def begin(
+        self, target: str, incarnation: Incarnation | None, now: float, timeout_ms: float, due_at: float
+    ) -> int:
+        """Registers a probe; returns its sequence number."""
         self.number += 1
-        self.out[self.number] = Probe(target, life or NO_INCARNATION, now, now + timeout, due)
+        self.pending[self.number] = Probe(
+            target, incarnation or NO_INCARNATION, now, now + timeout_ms, due_at
+        )
         return self.number
 
-    def errand(self, asker: str, number: int, target: str, due: float) -> int:
+    def begin_relayed(self, requester: str, number: int, target: str, due_at: float) -> int:
+        """Registers a probe on behalf of `requester`; returns its own sequence number."""
         self.number += 1
-        self.errands[self.number] = Errand(asker, number, target, due)
+        self.relayed[self.number] = RelayedProbe(requester, number, target, due_at)
         return self.number
 
-    def out_for(self, target: str) -> bool:
-        return any(probe.target == target for probe in self.out.values())
+    def is_pending(self, target: str) -> bool:
+        """Whether a probe of this member is pending."""
+        return any(probe.target == target for probe in self.pending.values())
 
     def next_due(self) -> float:
-        dues = [p.due if p.asked else min(p.ask_at, p.due) for p in self.out.values()]
-        dues += [e.due for e in self.errands.values()]
+        """When the next probe times out or becomes indirect (ms); infinite without probes."""
+        dues = [p.due_at if p.indirect_sent else min(p.indirect_at, p.due_at) for p in self.pending.values()]
+        dues += [r.due_at for r in self.relayed.values()]
         return min(dues, default=float("inf"))
 
-    def forget(self) -> int:
-        """Drops all probes without a verdict; how many there were."""
-        count = len(self.out)
-        self.out.clear()
-        self.errands.clear()
+    def cancel_all(self) -> int:
+        """Drops all probes without a result; returns how many own probes were pending."""
+        count = len(self.pending)
+        self.pending.clear()
+        self.relayed.clear()
         return count
--- a/notchflow/cluster/suspicion.py
+++ b/notchflow/cluster/suspicion.py
@@ -1,8 +1,8 @@
-"""Suspicions that run, and how far an instance trusts its own judgement. Pure.
+"""Suspicion timeouts and local health awareness. No I/O.
 
-After Lifeguard (Dadgar, Phillips and Currey, DSN 2018): a suspicion begins long and becomes shorter with each
-independent accuser; who misses answers that others should have given judges itself slow and gives more time.
-What goes beyond it: a suspicion does not run while the one that judges sleeps.
+After Lifeguard (Dadgar, Phillips and Currey, DSN 2018): a suspicion timeout starts at its maximum and shrinks
+with each independent accuser; an instance that misses expected answers lowers its own health and extends its
+probe timeouts. In addition, a suspicion does not run while this process is stalled.
 """
 
 from __future__ import annotations
@@ -15,43 +15,45 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one revision of one life of a member."""
+    """A running suspicion of one revision of a member's incarnation."""
 
     record: Record
-    since: float
-    shortest: float
-    longest: float
-    needed: int
+    started_at: float
+    min_ms: float
+    max_ms: float
+    confirmations_needed: int
     accusers: set[str] = field(default_factory=set)
 
-    def due(self) -> float:
-        """When the member is held dead."""
-        if self.needed < 1:
-            return self.since + self.shortest
-        others = min(max(len(self.accusers) - 1, 0), self.needed)
-        share = math.log(others + 1) / math.log(self.needed + 1)
-        return self.since + self.longest - share * (self.longest - self.shortest)
-
-    def accuse(self, accuser: str) -> bool:
-        """Another says so too; whether that is worth passing on."""
-        if accuser in self.accusers or len(self.accusers) > self.needed:
+    def expires_at(self) -> float:
+        """When the member is declared dead."""
+        if self.confirmations_needed < 1:
+            return self.started_at + self.min_ms
+        confirmations = min(max(len(self.accusers) - 1, 0), self.confirmations_needed)
+        share = math.log(confirmations + 1) / math.log(self.confirmations_needed + 1)
+        return self.started_at + self.max_ms - share * (self.max_ms - self.min_ms)
+
+    def add_accuser(self, accuser: str) -> bool:
+        """Adds an accuser; True if it is new and still shortens the timeout, and so is passed on."""
+        if accuser in self.accusers or len(self.accusers) > self.confirmations_needed:
             return False
         self.accusers.add(accuser)
         return True
 
 
 class LocalHealth:
-    """How slow this instance is itself: 0 is well. Timeouts are stretched by one and this."""
+    """Lifeguard's local health multiplier: score 0 is healthy; probe timeouts are multiplied by score + 1."""
 
-    __slots__ = ("score", "most")
+    __slots__ = ("score", "max_score")
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_score: int) -> None:
         self.score = 0
-        self.most = most - 1
+        self.max_score = max_score - 1
 
-    def change(self, by: int) -> None:
-        self.score = min(max(self.score + by, 0), self.most)
+    def adjust(self, delta: int) -> None:
+        """Adds to the score, within 0 and the maximum."""
+        self.score = min(max(self.score + delta, 0), self.max_score)
 
     @property
-    def factor(self) -> int:
+    def multiplier(self) -> int:
+        """Factor for probe timeouts."""
         return self.score + 1
--- a/notchflow/cluster/transport.py
+++ b/notchflow/cluster/transport.py
@@ -22,17 +22,17 @@
 from notchflow.cluster.local_state import Sender
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import (
-    DATAGRAM_MAX,
-    FRAME_MAX,
+    DATAGRAM_BYTES_MAX,
+    FRAME_BYTES_MAX,
     VERSION,
     Denial,
     Envelope,
-    Foreign,
-    Malformed,
+    ForeignMessageError,
+    MalformedMessageError,
     Message,
+    ReplayWindow,
     Sync,
-    UnknownVersion,
-    Window,
+    UnknownVersionError,
     decode_message,
     encode_message,
 )
@@ -69,7 +69,7 @@
         self.book = AddressBook(book)
         self.keep, self.tell = keep, tell
         self.counter = 0
-        self.windows: dict[str, tuple[Incarnation, Window]] = {}
+        self.windows: dict[str, tuple[Incarnation, ReplayWindow]] = {}
         self.metrics: Counter[str] = Counter()
         self.sources: dict[str, str] = {}
         self.udp: socket.socket | None = None
@@ -144,7 +144,7 @@
         """As `_do`, where a datagram from a place led to it: what answers it goes back there, unless the book
         says where its sender is reached."""
         for action in actions:
-            if isinstance(action, Datagram) and action.back and action.name not in self.book.given:
+            if isinstance(action, Datagram) and action.reply_to_source and action.name not in self.book.given:
                 self._send(source, action.name, action.body)
             else:
                 self._do((action,))
@@ -184,7 +184,7 @@
 
     def _send(self, at: Endpoint, to: str, body: Message) -> None:
         data = self._sealed(to, body)
-        if len(data) > DATAGRAM_MAX:
+        if len(data) > DATAGRAM_BYTES_MAX:
             self._frame(at, data)
             return
         self.metrics["datagrams_out"] += 1
@@ -199,7 +199,7 @@
 
     def _frame(self, at: Endpoint, data: bytes) -> None:
         """What is too long for a datagram goes by a connection of its own; it may be lost as well."""
-        if self.framing >= FRAMES_MAX or len(data) > FRAME_MAX:
+        if self.framing >= FRAMES_MAX or len(data) > FRAME_BYTES_MAX:
             self.metrics["too_long"] += 1
             return
         self.framing += 1
@@ -225,7 +225,7 @@
             if self.udp is None:
                 return
             try:
-                data, source = self.udp.recvfrom(DATAGRAM_MAX + 1)
+                data, source = self.udp.recvfrom(DATAGRAM_BYTES_MAX + 1)
             except BlockingIOError:
                 return
             except OSError:  # an earlier datagram of ours met nobody
@@ -237,12 +237,14 @@
     def _take(self, source: Endpoint, data: bytes) -> None:
         try:
             envelope = decode_message(self.secret, data)
-        except UnknownVersion as error:
+        except UnknownVersionError as error:
             if self._odd(source, "version", f"speaks version {error}, and this one up to {VERSION}"):
                 self._send(source, "", Denial(f"newest version known: {VERSION}"))
             return
-        except (Foreign, Malformed) as error:
-            self._odd(source, "foreign" if isinstance(error, Foreign) else "malformed", str(error))
+        except (ForeignMessageError, MalformedMessageError) as error:
+            self._odd(
+                source, "foreign" if isinstance(error, ForeignMessageError) else "malformed", str(error)
+            )
             return
         if self._fresh(envelope, source):
             sender = Sender(envelope.name, envelope.incarnation)
@@ -265,7 +267,7 @@
     ) -> None:
         """`source`: where a datagram came from; what came over a connection is answered where its sender is
         known to be."""
-        if not self.core.heeds(sender):
+        if not self.core.accepts_from(sender):
             return
         answer = handler(self.now(), sender, body)
         if answer is None:
@@ -297,10 +299,10 @@
         if held is None or held[0] < envelope.incarnation:
             if held is None and envelope.name not in self.core.view.names:
                 return True  # answered with a denial; nothing is kept of it
-            held = self.windows[envelope.name] = envelope.incarnation, Window()
+            held = self.windows[envelope.name] = envelope.incarnation, ReplayWindow()
         elif held[0] > envelope.incarnation:
             return True  # a former life: the core tells it so, and takes nothing of it
-        if held[1].fresh(envelope.counter):
+        if held[1].accept(envelope.counter):
             return True
         self.metrics["replayed"] += 1
         return False
@@ -356,7 +358,7 @@
                 if answer is not None:
                     await self._write(sock, self._sealed(envelope.name, answer))
                     self.metrics["exchanges_served"] += 1
-        except (Foreign, Malformed, UnknownVersion) as error:
+        except (ForeignMessageError, MalformedMessageError, UnknownVersionError) as error:
             self._odd(source, "foreign", str(error))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.metrics["exchanges_failed"] += 1
@@ -383,7 +385,7 @@
                 self.metrics["exchanges_asked"] += 1
                 sender = Sender(envelope.name, envelope.incarnation)
                 self._do(self.core.handle_sync_reply(self.now(), sender, envelope.body))
-        except (Foreign, Malformed, UnknownVersion) as error:
+        except (ForeignMessageError, MalformedMessageError, UnknownVersionError) as error:
             self._odd(at, "foreign", str(error))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.metrics["exchanges_failed"] += 1
@@ -397,8 +399,8 @@
 
     async def _read(self, sock: socket.socket) -> bytes:
         (size,) = LENGTH.unpack(await self._exactly(sock, LENGTH.size))
-        if size > FRAME_MAX:
-            raise Foreign(f"a frame of {size} bytes")
+        if size > FRAME_BYTES_MAX:
+            raise ForeignMessageError(f"a frame of {size} bytes")
         return await self._exactly(sock, size)
 
     async def _exactly(self, sock: socket.socket, size: int) -> bytes:
--- a/notchflow/cluster/updates.py
+++ b/notchflow/cluster/updates.py
@@ -1,4 +1,4 @@
-"""What an instance learns of members and of itself: news taken over, judged, refuted, passed on. Pure."""
+"""Processing of membership updates: merged into the view, refuted, and passed on as gossip. No I/O."""
 
 from __future__ import annotations
 
@@ -16,79 +16,82 @@
 
 
 class UpdateProcessor(LocalState):
-    """Members' records and suspicions, and what others say of this instance."""
+    """Applies updates about members and about this instance to the local state."""
 
-    def _news(self, now: float, news: Iterable[Update]) -> None:
-        for update in news:
-            self._learn(now, update)
+    def _apply_updates(self, now: float, updates: Iterable[Update]) -> None:
+        for update in updates:
+            self._apply_update(now, update)
 
-    def _records(self, now: float, records: Iterable[Record]) -> None:
-        """A whole view. What it says of suspicions is its sender's word about others' accusations: the runs
-        of suspicions come by news, so that here they begin without an accuser."""
+    def _apply_records(self, now: float, records: Iterable[Record]) -> None:
+        """Applies a full view. It does not say who accused a suspect, so a suspicion that starts here has no
+        accuser; accusers arrive by gossip."""
         for record in records:
-            self._learn(now, Update(record))
+            self._apply_update(now, Update(record))
 
-    def _learn(self, now: float, update: Update) -> None:
-        """Takes over a piece of news, and passes it on where it is news."""
+    def _apply_update(self, now: float, update: Update) -> None:
+        """Merges an update into the view; what was new is passed on by gossip."""
         record = update.record
         if record.name == self.name:
-            self._of_myself(now, record)
+            self._apply_own_record(now, record)
             return
         before = self.view.get(record.name)
-        if self.view.join(now, record) is None:
-            self._also_accused(now, update)
+        if self.view.merge(now, record) is None:
+            self._confirm_suspicion(now, update)
             return
         if record.state is State.LEFT:
             self.left |= {record.name}
         else:
             self.left -= {record.name}
-        self._changed(now, before, update)
-        self._spread(now, update)
+        self._record_changed(now, before, update)
+        self._enqueue_gossip(now, update)
 
-    def _spread(self, now: float, update: Update) -> None:
-        self.queue.put(update)
-        self.flush_at = min(self.flush_at, now + self.settings.flush_ms)
+    def _enqueue_gossip(self, now: float, update: Update) -> None:
+        self.gossip_queue.put(update)
+        self.flush_at = min(self.flush_at, now + self.settings.gossip_delay_ms)
 
-    def _changed(self, now: float, before: Record | None, update: Update) -> None:
+    def _record_changed(self, now: float, before: Record | None, update: Update) -> None:
         record = update.record
         suspicion = self.suspicions.get(record.name)
         if record.state is State.SUSPECT:
-            self._suspect(now, update)
+            self._start_suspicion(now, update)
         elif suspicion is not None:
             del self.suspicions[record.name]
         if before is not None and before.incarnation != record.incarnation:
-            self._tell("life", record.name, life=str(record.incarnation), before=str(before.incarnation))
+            self._emit_event(
+                "life", record.name, life=str(record.incarnation), before=str(before.incarnation)
+            )
             self.disagreements.pop(f"two-instances {record.name}", None)
         if before is None or before.state is not record.state or before.incarnation != record.incarnation:
-            self._tell(
+            self._emit_event(
                 STATE_NAMES[record.state],
                 record.name,
                 life=str(record.incarnation),
                 revision=record.revision,
                 **({"by": update.accuser} if update.accuser else {}),
             )
-        self._same_address(record)
+        self._check_address(record)
 
-    def _suspect(self, now: float, update: Update) -> None:
-        shortest, longest = self.settings.suspicion_bounds_ms(self.roster_size)
-        needed = max(min(self.settings.confirmations, self.present_count() - 2), 0)
-        suspicion = Suspicion(update.record, now, shortest, longest, needed)
+    def _start_suspicion(self, now: float, update: Update) -> None:
+        min_ms, max_ms = self.settings.suspicion_bounds_ms(self.roster_size)
+        confirmations_needed = max(min(self.settings.confirmations, self.present_count() - 2), 0)
+        suspicion = Suspicion(update.record, now, min_ms, max_ms, confirmations_needed)
         if update.accuser:
-            suspicion.accuse(update.accuser)
+            suspicion.add_accuser(update.accuser)
         self.suspicions[update.record.name] = suspicion
-        self._see_for_oneself(now, update.record.name)
+        self._probe_suspect(now, update.record.name)
 
-    def _see_for_oneself(self, now: float, name: str) -> None:
-        """Some of the others probe who is suspected at once: the suspicion ends soon, either way."""
-        chance = 2 * self.settings.confirmations / max(self.present_count() - 2, 1)
+    def _probe_suspect(self, now: float, name: str) -> None:
+        """Probes a suspect at once, on a random part of the members, so that the suspicion is settled
+        early."""
+        probability = 2 * self.settings.confirmations / max(self.present_count() - 2, 1)
         if (
             self.name_claim.state is not ClaimState.CONTESTED
-            and not self.probes.out_for(name)
-            and (chance >= 1 or self.rng.random() < chance)
+            and not self.probes.is_pending(name)
+            and (probability >= 1 or self.rng.random() < probability)
         ):
-            self._probe(now, name)
+            self._send_probe(now, name)
 
-    def _also_accused(self, now: float, update: Update) -> None:
+    def _confirm_suspicion(self, now: float, update: Update) -> None:
         suspicion = self.suspicions.get(update.record.name)
         record = update.record
         if (
@@ -99,67 +102,70 @@
             != (suspicion.record.incarnation, suspicion.record.revision)
         ):
             return
-        if suspicion.accuse(update.accuser):
-            self._spread(now, update)
-
-    def _of_myself(self, now: float, record: Record) -> None:
-        """What others say of this instance: refuted where it lives, heeded where the name is another's."""
-        mine = self.record
-        if record.incarnation == mine.incarnation:
-            if record.state is State.LEFT or (record.state is State.ALIVE and record.rank() > mine.rank()):
-                self._twin(now)  # nobody else can have said so
-            elif record.state is not State.ALIVE and record.revision >= mine.revision:
-                self._say(now, record.revision + 1)
-                self.local_health.change(1)
-                self._tell("refuted", revision=record.revision + 1, held=STATE_NAMES[record.state])
+        if suspicion.add_accuser(update.accuser):
+            self._enqueue_gossip(now, update)
+
+    def _apply_own_record(self, now: float, record: Record) -> None:
+        """Handles a record about this instance: refutes suspicion or death, and yields the name to a newer
+        incarnation."""
+        own = self.record
+        if record.incarnation == own.incarnation:
+            if record.state is State.LEFT or (record.state is State.ALIVE and record.rank() > own.rank()):
+                self._handle_duplicate_incarnation(
+                    now
+                )  # only another process with this incarnation can have sent it
+            elif record.state is not State.ALIVE and record.revision >= own.revision:
+                self._set_own_record(now, record.revision + 1)
+                self.local_health.adjust(1)
+                self._emit_event("refuted", revision=record.revision + 1, held=STATE_NAMES[record.state])
             return
-        if record.incarnation < mine.incarnation:
+        if record.incarnation < own.incarnation:
             return
-        if self.name_claim.hear(record):
-            self._rise(now, record)
+        if self.name_claim.handle_newer_record(record):
+            self._announce_incarnation(now, record)
         elif self.disagreements.get(f"two-instances {self.name}") != str(record.incarnation):
-            self.view.join(now, record)
-            self._disagree(
+            self.view.merge(now, record)
+            self._report_disagreement(
                 "two-instances", self.name, value=str(record.incarnation), newer=str(record.incarnation)
             )
-            self._tell("contested", newer=str(record.incarnation))
-            self.probes.forget()  # nobody answers the older one: that is no reason to judge them
+            self._emit_event("contested", newer=str(record.incarnation))
+            self.probes.cancel_all()  # members do not answer the older incarnation; not a failure
             self.suspicions.clear()
-            self.join_at = now + self.settings.retry_ms
+            self.join_at = now + self.settings.join_retry_ms
         else:
-            self.view.join(now, record)
+            self.view.merge(now, record)
 
-    def _twin(self, now: float) -> None:
-        """Another instance goes by this name and this very life: both begin new ones."""
-        self._disagree(
+    def _handle_duplicate_incarnation(self, now: float) -> None:
+        """Another process runs under this name and incarnation: both begin a new incarnation."""
+        self._report_disagreement(
             "two-instances",
             self.name,
             value=str(self.name_claim.incarnation),
             same=str(self.name_claim.incarnation),
         )
-        self.name_claim.rise(self.name_claim.incarnation)
-        self._rise(now, None)
+        self.name_claim.begin_newer_incarnation(self.name_claim.incarnation)
+        self._announce_incarnation(now, None)
 
-    def _rise(self, now: float, over: Record | None) -> None:
+    def _announce_incarnation(self, now: float, superseded: Record | None) -> None:
         self.actions.append(PersistIncarnation(self.name_claim.incarnation))
-        self._tell(
+        self._emit_event(
             "rose",
             life=str(self.name_claim.incarnation),
-            over=str(over.incarnation) if over is not None else "a twin",
+            over=str(superseded.incarnation) if superseded is not None else "a twin",
         )
-        self._say(now, 0)
+        self._set_own_record(now, 0)
 
-    def _say(self, now: float, revision: int) -> None:
-        mine = Record(
+    def _set_own_record(self, now: float, revision: int) -> None:
+        own = Record(
             self.name, self.name_claim.incarnation, revision, State.ALIVE, self.address, self.version
         )
-        self.view.put(now, mine)
-        self._spread(now, Update(mine))
+        self.view.put(now, own)
+        self._enqueue_gossip(now, Update(own))
 
-    def _probe(self, now: float, target: str) -> None:
-        timeout = self.settings.probe_timeout_ms * self.local_health.factor
-        held = self.view.get(target)
+    def _send_probe(self, now: float, target: str) -> None:
+        timeout_ms = self.settings.probe_timeout_ms * self.local_health.multiplier
+        known = self.view.get(target)
         number = self.probes.begin(
-            target, held.incarnation if held else None, now, timeout, now + 2 * timeout
+            target, known.incarnation if known else None, now, timeout_ms, now + 2 * timeout_ms
         )
-        self._send(target, Ping(number, self.view.digest, self.roster_digest, self._news_for(target)))
+        self._send(target, Ping(number, self.view.digest, self.roster_digest, self._gossip_for(target)))
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -12,7 +12,7 @@
 
 from notchflow.cluster import budgets
 from notchflow.cluster.budgets import Account, Budgets, Held, Loan, Lot, Part, TokenTerms, owners
-from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
+from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.budget_explorer import BUDGETS, Play, Scope, explore
 from notchflow.emulator.budgets import Budget, Ledger, World
@@ -96,12 +96,12 @@
     ((owner, want),) = core.tick(now, ["p1"])
     assert owner == "p1" and want.items[0].tokens > 0
     have = core.usable_tokens("t", now)
-    core.handle_loan_grant(now + 100.0, "p3", LoanGrant(want.number, (Lent("t", 3),)))
+    core.handle_loan_grant(now + 100.0, "p3", LoanGrant(want.number, (LentTokens("t", 3),)))
     assert core.usable_tokens("t", now) == have, "p3 was not asked"
     ((_, want),) = core.tick(now, ["p1"])
     for _ in range(2):
-        core.handle_loan_grant(now + 100.0, "p1", LoanGrant(want.number, (Lent("t", 3),)))
-    core.handle_loan_grant(now + 100.0, "p1", LoanGrant(want.number + 1, (Lent("t", 3),)))
+        core.handle_loan_grant(now + 100.0, "p1", LoanGrant(want.number, (LentTokens("t", 3),)))
+    core.handle_loan_grant(now + 100.0, "p1", LoanGrant(want.number + 1, (LentTokens("t", 3),)))
     account = core.accounts["t"]
     assert account.borrowed(now + 499.0) == 3 and account.borrowed(now + 500.0) == 0
 
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -20,7 +20,7 @@
 from notchflow.cluster.history import History
 from notchflow.cluster.identity import IdentityError
 from notchflow.cluster.members import Members
-from notchflow.cluster.messages import DATAGRAM_MAX, Envelope, Gossip, Ping, Update, encode_message
+from notchflow.cluster.messages import DATAGRAM_BYTES_MAX, Envelope, Gossip, Ping, Update, encode_message
 from notchflow.cluster.model import Incarnation, Record, Settings, Standing, State
 from notchflow.cluster.transport import LENGTH, SERVED_MAX, ClusterTransport
 from standins.ports import free_ports
@@ -219,7 +219,7 @@
             for data in (
                 b"",
                 b"\x01" * 300,
-                os.urandom(DATAGRAM_MAX + 400),
+                os.urandom(DATAGRAM_BYTES_MAX + 400),
                 b"\x07" + once[1:],
                 encode_message(b"x" * 32, Envelope("p1", Incarnation(10, 1), 1 << 41, "p0", dead)),
                 encode_message(SECRET, Envelope("p1", Incarnation(10, 1), 1 << 41, "p9", dead)),
@@ -288,7 +288,9 @@
     """The edge is on the loop that serves: what hangs there answers no probes."""
 
     async def test() -> None:
-        quick = Settings(contact_ms=400.0, probe_timeout_ms=40.0, suspicion_ms=100.0, spacing_ms=20.0)
+        quick = Settings(
+            contact_ms=400.0, probe_timeout_ms=40.0, suspicion_ms=100.0, probe_interval_min_ms=20.0
+        )
         async with Pair(settings=quick) as pair:
             await pair.until(pair.whole)
             lonely = pair.edges[1]
--- a/tests/cluster/test_explored.py
+++ b/tests/cluster/test_explored.py
@@ -13,7 +13,7 @@
 from notchflow.cluster.members import Members
 from notchflow.cluster.model import Record, State
 from notchflow.cluster.name_claim import NameClaim
-from notchflow.cluster.probes import Round
+from notchflow.cluster.probes import ProbeOrder
 from notchflow.cluster.suspicion import Suspicion
 from notchflow.emulator.explorer import Play, Scope, explore
 
@@ -42,18 +42,18 @@
 
 
 def refutes_nothing(patch: pytest.MonkeyPatch) -> None:
-    before = Members._of_myself
+    before = Members._apply_own_record
 
     def heard(self: Members, now: float, record: Record) -> None:
         if record.incarnation != self.name_claim.incarnation:
             before(self, now, record)
 
-    patch.setattr(Members, "_of_myself", heard)
+    patch.setattr(Members, "_apply_own_record", heard)
 
 
 def refutes_in_the_same_revision(patch: pytest.MonkeyPatch) -> None:
-    before = Members._say
-    patch.setattr(Members, "_say", lambda self, now, revision: before(self, now, 0))
+    before = Members._set_own_record
+    patch.setattr(Members, "_set_own_record", lambda self, now, revision: before(self, now, 0))
 
 
 def a_later_life_covers_nothing(patch: pytest.MonkeyPatch) -> None:
@@ -92,57 +92,57 @@
 
 def the_older_instance_takes_the_name_back(patch: pytest.MonkeyPatch) -> None:
     def hear(self: NameClaim, record: Record) -> bool:
-        self.rise(record.incarnation)
+        self.begin_newer_incarnation(record.incarnation)
         return True
 
-    patch.setattr(NameClaim, "hear", hear)
+    patch.setattr(NameClaim, "handle_newer_record", hear)
 
 
 def a_lost_folder_is_not_made_up_for(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(NameClaim, "rise", lambda self, above: None)
+    patch.setattr(NameClaim, "begin_newer_incarnation", lambda self, above: None)
 
 
 def the_dead_and_cut_off_are_not_probed(patch: pytest.MonkeyPatch) -> None:
-    before = Members._probe
+    before = Members._send_probe
 
     def probe(self: Members, now: float, target: str) -> None:
         held = self.view.get(target)
         if held is not None and held.present:
             before(self, now, target)
 
-    patch.setattr(Members, "_probe", probe)
-    patch.setattr(Members, "_call", lambda self, now: setattr(self, "join_at", float("inf")))
+    patch.setattr(Members, "_send_probe", probe)
+    patch.setattr(Members, "_contact_seeds", lambda self, now: setattr(self, "join_at", float("inf")))
 
 
 def suspicion_has_no_end(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Suspicion, "due", lambda self: float("inf"))
+    patch.setattr(Suspicion, "expires_at", lambda self: float("inf"))
 
 
 def a_suspicion_is_a_verdict(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Suspicion, "due", lambda self: self.since)
+    patch.setattr(Suspicion, "expires_at", lambda self: self.started_at)
 
 
 def who_is_heard_is_held_reached(patch: pytest.MonkeyPatch) -> None:
-    before = Contacts.heard
+    before = Contacts.record_heard
 
     def heard(self: Contacts, name: str, now: float) -> None:
         before(self, name, now)
-        self.acked(name, now)
+        self.record_ack(name, now)
 
-    patch.setattr(Contacts, "heard", heard)
+    patch.setattr(Contacts, "record_heard", heard)
 
 
 def leaving_is_not_told(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(members, "LEAVE_TOLD", 0)
+    patch.setattr(members, "LEAVE_NOTIFIED_MAX", 0)
 
 
 def one_member_is_never_probed(patch: pytest.MonkeyPatch) -> None:
-    before = Round.next
+    before = ProbeOrder.next
 
-    def step(self: Round, left: frozenset[str]) -> Any:
+    def step(self: ProbeOrder, left: frozenset[str]) -> Any:
         return before(self, left | {"p1"})
 
-    patch.setattr(Round, "next", step)
+    patch.setattr(ProbeOrder, "next", step)
 
 
 MUTANTS: tuple[Patch, ...] = (
--- a/tests/cluster/test_holds.py
+++ b/tests/cluster/test_holds.py
@@ -10,7 +10,7 @@
 
 from notchflow.cluster.budgets import Loan
 from notchflow.cluster.concurrency_limits import Account, ConcurrencyLimits, Lot, SlotTerms
-from notchflow.cluster.messages import Lent, LoanGrant, LoanItem, LoanRequest
+from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.engine import Simulator
 
@@ -222,11 +222,13 @@
         core.take("t", 10_000.0)
     core.free("t", 10_000.0)
     ((owner, want),) = core.tick(10_000.0, ["p1"])
-    grant = LoanGrant(want.number, (Lent("t", 2),))
+    grant = LoanGrant(want.number, (LentTokens("t", 2),))
     core.handle_loan_grant(10_001.0, "p9", grant)
     ((owner, want),) = core.tick(10_050.0, ["p1"])
-    core.handle_loan_grant(10_050.0 + TERMS.loan_ms, owner, LoanGrant(want.number, (Lent("t", 2),)))
+    core.handle_loan_grant(10_050.0 + TERMS.loan_ms, owner, LoanGrant(want.number, (LentTokens("t", 2),)))
     assert not core.accounts["t"].lots
     ((owner, want),) = core.tick(10_600.0, ["p1"])
-    core.handle_loan_grant(10_600.0 + TERMS.loan_ms - 1.0, owner, LoanGrant(want.number, (Lent("t", 2),)))
+    core.handle_loan_grant(
+        10_600.0 + TERMS.loan_ms - 1.0, owner, LoanGrant(want.number, (LentTokens("t", 2),))
+    )
     assert core.accounts["t"].lots["p1"] == [Lot(10_600.0 + TERMS.loan_ms, want.number, 2)]
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -104,8 +104,8 @@
     for order in itertools.permutations(news):
         view = View(ROSTER, "p1")
         for one in (*order, *order):
-            view.join(0.0, one)
-        ends.add((view.digest, view.get("p2"), view.count))
+            view.merge(0.0, one)
+        ends.add((view.digest, view.get("p2"), view.others_present))
     assert len(ends) == 1 and ends.pop()[1] == record("p2", epoch=11)
 
 
@@ -121,10 +121,10 @@
     suspicion = Suspicion(record("p2", State.SUSPECT), 0.0, 1_000.0, 3_000.0, 3)
     dues = []
     for accuser in ("p3", "p4", "p5", "p6"):
-        assert suspicion.accuse(accuser) and not suspicion.accuse(accuser)
-        dues.append(suspicion.due())
+        assert suspicion.add_accuser(accuser) and not suspicion.add_accuser(accuser)
+        dues.append(suspicion.expires_at())
     assert dues[0] == 3_000.0 and dues[-1] == 1_000.0 and dues == sorted(dues, reverse=True)
-    assert not suspicion.accuse("p7"), "more of them say nothing new"
+    assert not suspicion.add_accuser("p7"), "more of them say nothing new"
 
 
 def test_who_does_not_answer_is_suspected_then_dead_and_the_others_are_not() -> None:
@@ -140,7 +140,9 @@
     one.hear("p2", Gossip((Update(record("p1", state, 4), "p3"),)))
     assert one.core.record == record("p1", State.ALIVE, 5)
     one.run(30.0)
-    told = [update.record for sent in one.sent if isinstance(sent.body, Gossip) for update in sent.body.news]
+    told = [
+        update.record for sent in one.sent if isinstance(sent.body, Gossip) for update in sent.body.updates
+    ]
     assert record("p1", State.ALIVE, 5) in told
 
 
@@ -160,7 +162,7 @@
     assert one.state("p2") is State.SUSPECT
     one.now += 60_000.0
     one.take(one.core.tick(one.now))
-    assert one.state("p2") is State.SUSPECT and one.core.local_health.factor == SETTINGS.local_health_max
+    assert one.state("p2") is State.SUSPECT and one.core.local_health.multiplier == SETTINGS.local_health_max
     assert [tell.details["ms"] > 59_000 for tell in one.told if tell.what == "slept"] == [True]
     one.hear("p2", Gossip((Update(record("p2", State.ALIVE, 1)),)))
     assert one.state("p2") is State.ALIVE
@@ -192,17 +194,17 @@
 
 def test_a_round_trip_counts_from_when_it_was_asked() -> None:
     contacts = Contacts("p1", ROSTER, 2_000.0)
-    contacts.acked("p2", 1_000.0)
+    contacts.record_ack("p2", 1_000.0)
     assert contacts.reached(3_000.0) == ["p2"] and contacts.reached(3_001.0) == []
-    contacts.acked("p2", 500.0)
-    assert contacts.by_name["p2"].acked == 1_000.0, "an older one takes nothing back"
+    contacts.record_ack("p2", 500.0)
+    assert contacts.by_name["p2"].round_trip_at == 1_000.0, "an older one takes nothing back"
 
 
 def test_half_of_the_roster_is_no_majority_and_members_that_left_count_in_it() -> None:
     contacts = Contacts("p1", ("p1", "p2", "p3", "p4", "p5"), 2_000.0)
-    contacts.acked("p2", 0.0)
+    contacts.record_ack("p2", 0.0)
     assert contacts.standing(0.0, frozenset({"p3", "p4", "p5"})) is Standing.MINORITY
-    contacts.acked("p3", 0.0)
+    contacts.record_ack("p3", 0.0)
     assert contacts.standing(0.0, frozenset({"p4", "p5"})) is Standing.WHOLE
     assert contacts.standing(0.0, frozenset({"p4"})) is Standing.MAJORITY
 
@@ -212,16 +214,16 @@
     for _ in range(70):  # p2 is heard but does not answer; p3 is reached by others alone; p4 answers
         one.run(100.0, ("p4",))
         one.hear("p2", Gossip())
-        number = next(n for n in (*one.core.probes.out, 0))
-        probe = one.core.probes.out.get(number)
+        number = next(n for n in (*one.core.probes.pending, 0))
+        probe = one.core.probes.pending.get(number)
         if probe is not None and probe.target == "p3":
-            one.hear("p4", Ack(number, of="p3"))
+            one.hear("p4", Ack(number, target="p3"))
         if one.state("p3") is State.SUSPECT or one.state("p2") is State.SUSPECT:
             held = {n: one.core.view.get(n) for n in ("p2", "p3")}
             news = [Update(record(n, State.ALIVE, r.revision + 1)) for n, r in held.items() if r is not None]
             one.hear("p4", Gossip(tuple(news)))
     links = {tell.subject: tell.details["link"] for tell in one.told if tell.what == "link"}
-    assert links["p2"] == Link.DEAF.value and links["p3"] == Link.CUT.value and "p4" not in links
+    assert links["p2"] == Link.ONE_WAY.value and links["p3"] == Link.BRIDGE.value and "p4" not in links
 
 
 def test_a_leave_is_told_to_all_at_once_and_nothing_follows_it() -> None:
@@ -282,8 +284,8 @@
     one.hear("p2", Gossip((Update(record("p3", State.DEAD)),)), epoch=10)
     assert one.state("p3") is State.ALIVE and one.kinds() == ["two-instances"]
     answer = one.sent[first].body
-    assert isinstance(answer, Gossip) and answer.news[0].record.incarnation.epoch == 20
-    number = next(iter(one.core.probes.out), None)
+    assert isinstance(answer, Gossip) and answer.updates[0].record.incarnation.epoch == 20
+    number = next(iter(one.core.probes.pending), None)
     if number is not None:
         one.hear("p2", Ack(number), epoch=10)
     assert "p2" not in one.core.contacts.reached(one.now)
@@ -293,8 +295,8 @@
     one = One()
     one.run(700.0, ("p3", "p4"))
     number = (
-        next(n for n, probe in one.core.probes.out.items() if probe.target == "p2")
-        if any(p.target == "p2" for p in one.core.probes.out.values())
+        next(n for n, probe in one.core.probes.pending.items() if probe.target == "p2")
+        if any(p.target == "p2" for p in one.core.probes.pending.values())
         else one.core.probes.begin("p2", Incarnation(10, 1), one.now, 200.0, one.now + 400.0)
     )
     for _ in range(2):
@@ -308,7 +310,7 @@
     one.asked.clear()
     for _ in range(50):
         one.run(100.0, ("p3", "p4"))
-        one.hear("p2", Ping(1, view=77, roster=12_345))
+        one.hear("p2", Ping(1, view_digest=77, roster_digest=12_345))
     assert one.kinds() == ["rosters"] and len(one.asked) <= 2
 
 
@@ -316,7 +318,7 @@
     one = One()
     one.run(1_000.0, ("p2", "p3", "p4"))
     one.asked.clear()
-    one.hear("p2", Ping(1, view=77, roster=one.core.roster_digest))
+    one.hear("p2", Ping(1, view_digest=77, roster_digest=one.core.roster_digest))
     assert [asked.name for asked in one.asked] == ["p2"]
 
 
@@ -327,7 +329,7 @@
 
 def test_nobody_to_be_found_is_waited_for_only_so_long() -> None:
     one = One(joined=False)
-    one.run(SETTINGS.join_ms - 1)
+    one.run(SETTINGS.join_timeout_ms - 1)
     assert not one.core.accepts_requests()
     one.run(2)
     assert (
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -7,25 +7,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from notchflow.cluster.gossip import ROOM, Queue
+from notchflow.cluster.gossip import UPDATES_BYTES_MAX, GossipQueue
 from notchflow.cluster.messages import (
-    DATAGRAM_MAX,
+    DATAGRAM_BYTES_MAX,
     VERSION,
     Ack,
-    Ask,
     Denial,
     Envelope,
-    Foreign,
+    ForeignMessageError,
     Gossip,
-    Malformed,
+    MalformedMessageError,
     Message,
     Nack,
     Ping,
+    PingReq,
+    ReplayWindow,
     Sync,
-    UnknownVersion,
+    UnknownVersionError,
     Update,
-    Window,
-    _code,
+    _tag,
     decode_message,
     encode_message,
 )
@@ -36,7 +36,7 @@
 BODIES: tuple[Message, ...] = (
     Ping(7, 8, 9, (Update(RECORD, "p3"),)),
     Ack(7, 8, 9, "p4", (Update(RECORD),)),
-    Ask(1, "p2"),
+    PingReq(1, "p2"),
     Nack(3),
     Gossip((Update(RECORD),)),
     Sync((RECORD,), True, 5),
@@ -57,7 +57,7 @@
 def test_a_message_cut_at_any_byte_is_foreign(body: Message) -> None:
     data = encode_message(SECRET, enveloped(body))
     for size in range(len(data)):
-        with pytest.raises(Foreign):
+        with pytest.raises(ForeignMessageError):
             decode_message(SECRET, data[:size])
 
 
@@ -65,15 +65,15 @@
     data = encode_message(SECRET, enveloped(BODIES[0]))
     for place in range(len(data)):
         changed = bytes([*data[:place], data[place] ^ 0x41, *data[place + 1 :]])
-        with pytest.raises((Foreign, UnknownVersion)):
+        with pytest.raises((ForeignMessageError, UnknownVersionError)):
             decode_message(SECRET, changed)
-    with pytest.raises(Foreign):
+    with pytest.raises(ForeignMessageError):
         decode_message(OTHER, data)
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_turned_down_and_nothing_else_happens(data: bytes) -> None:
-    with pytest.raises((Foreign, UnknownVersion)):
+    with pytest.raises((ForeignMessageError, UnknownVersionError)):
         decode_message(SECRET, data)
 
 
@@ -81,48 +81,48 @@
 def test_any_bytes_under_the_secret_are_a_message_or_malformed(data: bytes) -> None:
     signed = bytes((VERSION,)) + data
     try:
-        decode_message(SECRET, signed + _code(SECRET, signed))
-    except (Malformed, Foreign):
+        decode_message(SECRET, signed + _tag(SECRET, signed))
+    except (MalformedMessageError, ForeignMessageError):
         pass
 
 
 def test_a_later_version_is_told_apart_from_foreign_bytes() -> None:
-    with pytest.raises(UnknownVersion, match="9"):
+    with pytest.raises(UnknownVersionError, match="9"):
         decode_message(SECRET, b"\x09" + encode_message(SECRET, enveloped(Nack(1)))[1:])
 
 
 def test_fields_that_a_later_writer_adds_are_ignored_and_those_left_out_have_defaults() -> None:
     later = msgspec.msgpack.encode(["p1", [5, 6], 9, "p2", [1, 7, 8, 9, [], "new"], "more"])
     data = bytes((VERSION,)) + later
-    assert decode_message(SECRET, data + _code(SECRET, data)).body == Ping(7, 8, 9)
+    assert decode_message(SECRET, data + _tag(SECRET, data)).body == Ping(7, 8, 9)
     earlier = bytes((VERSION,)) + msgspec.msgpack.encode(["p1", [5, 6], 9, "p2", [1, 7]])
-    assert decode_message(SECRET, earlier + _code(SECRET, earlier)).body == Ping(7)
+    assert decode_message(SECRET, earlier + _tag(SECRET, earlier)).body == Ping(7)
 
 
 @pytest.mark.parametrize("name", ["", "p" * 64, "a b", "../x"])
 def test_a_name_that_is_none_is_malformed(name: str) -> None:
     data = bytes((VERSION,)) + msgspec.msgpack.encode([name, [5, 6], 9, "p2", [4, 7]])
-    with pytest.raises(Malformed):
-        decode_message(SECRET, data + _code(SECRET, data))
+    with pytest.raises(MalformedMessageError):
+        decode_message(SECRET, data + _tag(SECRET, data))
 
 
 @given(st.lists(st.integers(0, 3_000), max_size=200))
 def test_no_number_is_taken_twice(numbers: list[int]) -> None:
-    window = Window()
-    taken = [n for n in numbers if window.fresh(n)]
+    window = ReplayWindow()
+    taken = [n for n in numbers if window.accept(n)]
     assert len(taken) == len(set(taken))
     in_order = sorted(set(numbers))
-    assert [n for n in in_order if Window().fresh(n)] == in_order
+    assert [n for n in in_order if ReplayWindow().accept(n)] == in_order
 
 
 def test_a_number_that_comes_late_is_taken_once_and_one_too_far_back_never() -> None:
-    window = Window()
-    assert window.fresh(2_000) and window.fresh(1_500) and not window.fresh(1_500)
-    assert not window.fresh(2_000 - Window.WIDTH)
+    window = ReplayWindow()
+    assert window.accept(2_000) and window.accept(1_500) and not window.accept(1_500)
+    assert not window.accept(2_000 - ReplayWindow.WIDTH)
 
 
 def test_what_a_datagram_carries_fits_into_it() -> None:
-    queue = Queue(4)
+    queue = GossipQueue(4)
     for number in range(100):
         name = f"p{number}".ljust(63, "x")
         queue.put(
@@ -132,11 +132,11 @@
     assert len(news) > 2 and news[0] == Update(RECORD)
     body = Ping(1 << 62, (1 << 63) - 1, (1 << 63) - 1, news)
     envelope = Envelope("p" * 63, Incarnation(1 << 62, 1 << 62), 1 << 62, "q" * 63, body)
-    assert ROOM < len(encode_message(SECRET, envelope)) <= DATAGRAM_MAX
+    assert UPDATES_BYTES_MAX < len(encode_message(SECRET, envelope)) <= DATAGRAM_BYTES_MAX
 
 
 def test_newer_news_take_the_place_of_older_and_each_goes_out_a_bounded_number_of_times() -> None:
-    queue = Queue(4)
+    queue = GossipQueue(4)
     queue.put(Update(RECORD, "p1"))
     dead = Record(
         RECORD.name, RECORD.incarnation, RECORD.revision, State.DEAD, RECORD.address, RECORD.version
@@ -146,4 +146,4 @@
     while queue:
         assert queue.take(10) == (Update(dead),)
         sent += 1
-    assert sent == queue.limit(10) == 8
+    assert sent == queue.retransmit_limit(10) == 8
