--- a/notchflow/cluster/addresses.py
+++ b/notchflow/cluster/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses that can be sent to without asking anybody for a name. Pure."""
+"""Numeric addresses of members, which need no name resolution. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @lru_cache(4_096)
 def parse_numeric_address(text: str) -> Endpoint | None:
-    """Host and port of a numeric address; None where it is none. A name would hold up the loop."""
+    """Host and port of a numeric address, else None: resolving a host name would block the event loop."""
     try:
         host, port = parse_address(text)
         socket.inet_pton(address_family(host), host)
@@ -24,35 +24,39 @@
 
 
 def address_family(host: str) -> socket.AddressFamily:
+    """Address family of a numeric host."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 class AddressBook:
-    """Where members are reached: by the operators' book, else where they say they are.
+    """Endpoints of members: as configured by the operators, else as advertised by the member.
 
-    The book goes over what they say: it alone may know what lies between two members (a relay, an address for
-    each side, one way or both). It ends for a name that moves: once a message of its present life, which says
-    that it is elsewhere than the first life heard of here, comes straight from there. The book's place is a
-    former life's then. Who is heard straight but has not moved is still sent to by the book.
+    A configured address overrides the advertised one, because only operators know what lies between two
+    members (a relay, an address for each side, one way or both). It no longer applies to a member that moved:
+    one whose current incarnation advertises another address than the first one seen, and sends from there
+    directly. The configured address is that of a former incarnation then. A member that sends directly but
+    has not moved is still reached by the configured address.
     """
 
-    def __init__(self, given: Mapping[str, str]) -> None:
-        self.given = {
-            name: at for name, text in given.items() if (at := parse_numeric_address(text)) is not None
+    def __init__(self, configured: Mapping[str, str]) -> None:
+        self.configured = {
+            name: endpoint
+            for name, text in configured.items()
+            if (endpoint := parse_numeric_address(text)) is not None
         }
-        self.first: dict[str, str] = {}  # where each of the book's names first said that it is
-        self.straight: dict[str, Endpoint] = {}  # where those that moved were heard from
+        self.first_advertised: dict[str, str] = {}  # first advertised address of each configured name
+        self.direct: dict[str, Endpoint] = {}  # source of members that moved
 
-    def heard(self, name: str, address: str, source: Endpoint) -> None:
-        """A message of the name's present life, which says that it is at this address, came from an
-        endpoint."""
-        moved = name in self.given and self.first.setdefault(name, address) != address
+    def record_source(self, name: str, address: str, source: Endpoint) -> None:
+        """Records the source of a message from a member's current incarnation and the address it
+        advertises."""
+        moved = name in self.configured and self.first_advertised.setdefault(name, address) != address
         if moved and parse_numeric_address(address) == source:
-            self.straight[name] = source
-
-    def at(self, name: str, address: str) -> Endpoint | None:
-        """Where to send; `address`: what the name says of itself, if anything is known of it."""
-        said = parse_numeric_address(address)
-        if said is not None and self.straight.get(name) == said:
-            return said
-        return self.given.get(name) or said
+            self.direct[name] = source
+
+    def endpoint_for(self, name: str, address: str) -> Endpoint | None:
+        """Where to send to a member that advertises `address` (empty if unknown)."""
+        advertised = parse_numeric_address(address)
+        if advertised is not None and self.direct.get(name) == advertised:
+            return advertised
+        return self.configured.get(name) or advertised
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -22,7 +22,7 @@
 from notchflow.cluster.members import Members
 from notchflow.cluster.messages import DATAGRAM_BYTES_MAX, Envelope, Gossip, Ping, Update, encode_message
 from notchflow.cluster.model import Incarnation, Record, Settings, Standing, State
-from notchflow.cluster.transport import LENGTH, SERVED_MAX, ClusterTransport
+from notchflow.cluster.transport import INCOMING_EXCHANGES_MAX, LENGTH_PREFIX, ClusterTransport
 from standins.ports import free_ports
 
 SECRET = b"s" * 32
@@ -95,7 +95,7 @@
 
     async def test() -> None:
         async with Pair() as pair:
-            pair.edges[0].book = AddressBook({"p1": pair.at(1)})
+            pair.edges[0].address_book = AddressBook({"p1": pair.at(1)})
             await pair.until(pair.whole)
             old, new_port = pair.edges[1], free_ports(1)[0]
             me = Record("p1", Incarnation(11, 1), 0, State.ALIVE, f"127.0.0.1:{new_port}", "1")
@@ -116,26 +116,29 @@
                 await asyncio.sleep(0.01)
             assert states == {State.ALIVE} and new.core.accepts_requests() and not old.core.accepts_requests()
             assert new.core.name_claim.incarnation == Incarnation(11, 1), "it never had to refute"
-            assert pair.edges[0].book.at("p1", me.address) == ("127.0.0.1", new_port)
+            assert pair.edges[0].address_book.endpoint_for("p1", me.address) == ("127.0.0.1", new_port)
 
     asyncio.run(test())
 
 
 def test_the_book_goes_first_but_for_who_has_moved_and_is_heard_straight_from_there() -> None:
     book = AddressBook({"a": "127.0.0.1:1", "b": "nowhere:2"})
-    assert book.at("a", "127.0.0.1:5") == ("127.0.0.1", 1), "what it says of itself may not be reachable"
-    book.heard("a", "127.0.0.1:5", ("127.0.0.1", 5))
-    assert book.at("a", "127.0.0.1:5") == ("127.0.0.1", 1), "a relay may stand one way alone"
-    book.heard("a", "127.0.0.1:6", ("127.0.0.1", 900))
-    assert book.at("a", "127.0.0.1:6") == ("127.0.0.1", 1), "it has moved, and is heard by a relay"
-    book.heard("a", "127.0.0.1:6", ("127.0.0.1", 6))
-    assert book.at("a", "127.0.0.1:6") == ("127.0.0.1", 6)
-    assert book.at("a", "127.0.0.1:8") == ("127.0.0.1", 1), "it moves on, and is not heard yet"
-    book.heard("a", "127.0.0.1:5", ("127.0.0.1", 5))
-    assert book.at("a", "127.0.0.1:5") == ("127.0.0.1", 1), "it is back where the book knows of it"
-    book.heard("c", "127.0.0.1:7", ("127.0.0.1", 7))
-    assert book.at("c", "") is None and book.straight.keys() == {"a"}, "of others nothing is kept"
-    assert book.at("b", "127.0.0.1:3") == ("127.0.0.1", 3) and book.at("b", "x") is None
+    assert book.endpoint_for("a", "127.0.0.1:5") == (
+        "127.0.0.1",
+        1,
+    ), "what it says of itself may not be reachable"
+    book.record_source("a", "127.0.0.1:5", ("127.0.0.1", 5))
+    assert book.endpoint_for("a", "127.0.0.1:5") == ("127.0.0.1", 1), "a relay may stand one way alone"
+    book.record_source("a", "127.0.0.1:6", ("127.0.0.1", 900))
+    assert book.endpoint_for("a", "127.0.0.1:6") == ("127.0.0.1", 1), "it has moved, and is heard by a relay"
+    book.record_source("a", "127.0.0.1:6", ("127.0.0.1", 6))
+    assert book.endpoint_for("a", "127.0.0.1:6") == ("127.0.0.1", 6)
+    assert book.endpoint_for("a", "127.0.0.1:8") == ("127.0.0.1", 1), "it moves on, and is not heard yet"
+    book.record_source("a", "127.0.0.1:5", ("127.0.0.1", 5))
+    assert book.endpoint_for("a", "127.0.0.1:5") == ("127.0.0.1", 1), "it is back where the book knows of it"
+    book.record_source("c", "127.0.0.1:7", ("127.0.0.1", 7))
+    assert book.endpoint_for("c", "") is None and book.direct.keys() == {"a"}, "of others nothing is kept"
+    assert book.endpoint_for("b", "127.0.0.1:3") == ("127.0.0.1", 3) and book.endpoint_for("b", "x") is None
 
 
 def test_another_secret_is_told_and_neither_takes_the_other_for_a_member() -> None:
@@ -259,11 +262,17 @@
         async with Pair() as pair:
             await pair.until(pair.whole)
             edge = pair.edges[0]
-            mute = [socket.create_connection(("127.0.0.1", pair.ports[0])) for _ in range(SERVED_MAX + 4)]
-            mute[0].sendall(LENGTH.pack(1 << 30))
+            mute = [
+                socket.create_connection(("127.0.0.1", pair.ports[0]))
+                for _ in range(INCOMING_EXCHANGES_MAX + 4)
+            ]
+            mute[0].sendall(LENGTH_PREFIX.pack(1 << 30))
             await pair.until(lambda: edge.metrics["exchanges_refused"] >= 3)
-            await pair.until(lambda: edge.serving == 0)
-            assert edge.metrics["exchanges_failed"] >= SERVED_MAX - 1 and edge.metrics["foreign"] == 1
+            await pair.until(lambda: edge.incoming_exchanges == 0)
+            assert (
+                edge.metrics["exchanges_failed"] >= INCOMING_EXCHANGES_MAX - 1
+                and edge.metrics["foreign"] == 1
+            )
             assert pair.whole()
             for sock in mute:
                 sock.close()
@@ -297,7 +306,7 @@
             assert lonely.udp is not None
             lonely.loop.remove_reader(lonely.udp)  # as far as p0 can tell, its loop hangs
             await pair.until(lambda: pair.edges[0].core.view.state("p1") is State.DEAD)
-            lonely.loop.add_reader(lonely.udp, lonely._readable)
+            lonely.loop.add_reader(lonely.udp, lonely._on_readable)
             await pair.until(lambda: pair.edges[0].core.view.state("p1") is State.ALIVE)
 
     asyncio.run(test())
