--- a/notchflow/cluster/concurrency_limits.py
+++ b/notchflow/cluster/concurrency_limits.py
@@ -1,15 +1,15 @@
-"""A bound on what the whole fleet has in hand, in parts that instances own and lend by the place. Pure.
-
-As a budget (`budgets.py`), but a place comes back when what it was taken for is over, not by time. An owner
-lends at most half of its part, so that an instance has the other half whatever it hears. A lent place may be
-taken until `loan_ms` after it was asked for, by the borrower's clock, and is held for `hold_ms` at the
-longest, which is how long a request may be in hand; the owner counts it as out until both have passed, and
-the clock drift allowed, after it answered, or until the borrower says by the grant's number that it is
-free again.
-
-Places are alike: what ends frees the borrowed place that the owner takes back first. Of all that were in hand
-when a lot could be taken from for the last time each has ended `hold_ms` later: by then the lot is free. (An
-instance that is stopped holds what it had until it goes on: nobody is served of it.)
+"""Concurrency limits of the whole fleet, split into shares of slots that instances own and lend. No I/O.
+
+As a token budget (`budgets.py`), but a slot is returned when its request ends, not by time. An owner lends at
+most half of its share, so that it can use the other half regardless of messages. A lent slot may be taken
+until `loan_ms` after it was requested, on the borrower's clock, and is held for at most `hold_ms`, the
+longest time that a request may be open. The owner counts it as outstanding until both times and the allowed
+clock drift have passed after it answered, or until the borrower reports, by the number of the grant, that it
+is free again.
+
+Slots are interchangeable: a request that ends frees the borrowed slot that the owner takes back first. Every
+request that was open when a lot could last be taken from has ended `hold_ms` later, so the lot is free by
+then. (An instance that is paused keeps its slots until it continues; it serves no requests with them.)
 """
 
 from __future__ import annotations
@@ -21,34 +21,41 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from notchflow.cluster.budgets import NUMBERS, OWNERS_A_TICK, SPENT_A_MESSAGE, Loan, out_of, owners
+from notchflow.cluster.budgets import (
+    OWNERS_PER_TICK,
+    REQUEST_NUMBER_MAX,
+    SPENT_LOTS_PER_ITEM,
+    Loan,
+    owners,
+    total_outstanding,
+)
 from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 
-FULL: Final = 0.75  # of the places there are: from here on more are asked for
-MORE: Final = 0.5  # of those taken, so many more
-IDLE_MS: Final = 2_000.0
+GROWTH_THRESHOLD: Final = 0.75  # share of slots in use above which more are requested
+GROWTH_SHARE: Final = 0.5  # number of slots to request, relative to those in use
+IDLE_MS: Final = 2_000.0  # without a request for this long a limit is idle
 
 
 @dataclass(frozen=True, slots=True)
 class SlotTerms:
-    """What all instances must be set to alike."""
+    """Settings of slot loans; all instances of a fleet must have the same."""
 
-    hold_ms: float
-    loan_ms: float = 500.0
-    clock_drift: float = 1 / 200
+    hold_ms: float  # the longest time that a request holds a slot
+    loan_ms: float = 500.0  # how long a lent slot may be taken, from its request
+    clock_drift: float = 1 / 200  # relative rate by which two clocks may differ
 
     @property
     def outstanding_ms(self) -> float:
-        """For how long an owner counts what it lent as out."""
+        """How long an owner counts lent slots as outstanding."""
         return (self.loan_ms + self.hold_ms) * (1 + self.clock_drift)
 
 
 @dataclass(slots=True)
 class Lot:
-    """Places of one grant: free ones until `until`, and those taken."""
+    """Slots borrowed with one grant; free ones may be taken until `ends_at`."""
 
-    until: float
+    ends_at: float
     number: int
     free: int
     taken: int = 0
@@ -56,207 +63,219 @@
 
 @dataclass(slots=True)
 class Account:
-    """One bound at one instance."""
+    """One concurrency limit at one instance."""
 
     limit: int = -1
-    part: int = 0
+    share: int = 0
     owners: list[str] = field(default_factory=list)
-    own: int = 0  # of its part, taken here
+    own_taken: int = 0  # slots of its own share in use here
     loans: dict[tuple[str, Incarnation], Loan] = field(default_factory=dict)
-    lots: dict[str, list[Lot]] = field(default_factory=dict)  # by owner, by when they end
-    done: dict[str, dict[int, float]] = field(default_factory=dict)  # by owner: numbers to tell, until when
-    missed: int = 0
-    asked_at: float = -math.inf
-
-    def state(self, key: str, me: str, roster: Sequence[str], limit: int) -> None:
-        """Whole places; of a limit that cannot be divided the first owners have one more."""
+    lots: dict[str, list[Lot]] = field(default_factory=dict)  # by owner, in the order of their ends
+    freed: dict[str, dict[int, float]] = field(
+        default_factory=dict
+    )  # by owner: numbers of lots to return, with the time until which
+    shed: int = 0
+    requested_at: float = -math.inf
+
+    def set_limit(self, key: str, name: str, roster: Sequence[str], limit: int) -> None:
+        """Sets the limit. The remainder of its division goes to the first owners."""
         self.limit = limit
         self.owners = owners(key, roster, float(limit))
         count = len(self.owners)
-        mine = self.owners.index(me) if me in self.owners else -1
-        self.part = limit // count + (mine < limit % count) if mine >= 0 else 0
+        index = self.owners.index(name) if name in self.owners else -1
+        self.share = limit // count + (index < limit % count) if index >= 0 else 0
 
-    def out(self, now: float) -> int:
-        return out_of(self.loans, now)
+    def outstanding(self, now: float) -> int:
+        """Lent slots that may still be in use."""
+        return total_outstanding(self.loans, now)
 
     @property
     def taken(self) -> int:
-        return self.own + sum(lot.taken for lots in self.lots.values() for lot in lots)
+        """Slots in use here, own and borrowed."""
+        return self.own_taken + sum(lot.taken for lots in self.lots.values() for lot in lots)
 
 
 class ConcurrencyLimits:
-    """All bounds at one instance."""
+    """All concurrency limits at one instance."""
 
     def __init__(
-        self, me: str, roster: Iterable[str], terms: SlotTerms, rng: random.Random, started_at: float
+        self, name: str, roster: Iterable[str], terms: SlotTerms, rng: random.Random, started_at: float
     ) -> None:
-        self.me, self.roster, self.terms, self.rng = me, tuple(sorted(set(roster))), terms, rng
+        self.name, self.roster, self.terms, self.rng = name, tuple(sorted(set(roster))), terms, rng
         self.opens_at = (
             started_at + terms.outstanding_ms
-        )  # till then half of each part may be out of a former life
+        )  # until then half of each share may be lent by an earlier incarnation
         self.accounts: dict[str, Account] = {}
-        self.known: dict[str, int] = {}
-        self.asking: dict[int, tuple[str, float]] = {}
-        self.number = rng.randrange(NUMBERS)
+        self.limits: dict[str, int] = {}
+        self.pending: dict[int, tuple[str, float]] = {}
+        self.last_number = rng.randrange(REQUEST_NUMBER_MAX)
         self.active_keys: dict[str, None] = {}
 
     def set_limit(self, key: str, limit: int) -> None:
-        self.known[key] = limit
+        """Sets a limit of the whole fleet."""
+        self.limits[key] = limit
         if key in self.accounts:
-            self.accounts[key].state(key, self.me, self.roster, limit)
+            self.accounts[key].set_limit(key, self.name, self.roster, limit)
 
     def forget(self, key: str) -> None:
-        self.known.pop(key, None)
+        """Removes a limit."""
+        self.limits.pop(key, None)
         self.accounts.pop(key, None)
         self.active_keys.pop(key, None)
 
     def _account(self, key: str) -> Account | None:
         account = self.accounts.get(key)
-        if account is None and key in self.known:
+        if account is None and key in self.limits:
             account = self.accounts[key] = Account()
-            account.state(key, self.me, self.roster, self.known[key])
+            account.set_limit(key, self.name, self.roster, self.limits[key])
         return account
 
     # -- a request
     def free(self, key: str, now: float) -> int:
-        """Places that may be taken now."""
+        """Slots that may be taken now."""
         account = self._account(key)
         if account is None:
             return 0
-        account.asked_at = now
+        account.requested_at = now
         self.active_keys[key] = None
-        there = self._free(account, now)
-        if there < 1:
-            account.missed += 1
-        return there
+        free = self._free(account, now)
+        if free < 1:
+            account.shed += 1
+        return free
 
     def _free(self, account: Account, now: float) -> int:
-        """Own and borrowed places that are free."""
-        borrowed = sum(lot.free for lots in account.lots.values() for lot in lots if lot.until > now)
-        return self._own_free(account, now) + borrowed
+        """Own and borrowed slots that are free."""
+        borrowed = sum(lot.free for lots in account.lots.values() for lot in lots if lot.ends_at > now)
+        return self._free_own(account, now) + borrowed
 
-    def _own_free(self, account: Account, now: float) -> int:
-        whole = account.part if now >= self.opens_at else account.part - account.part // 2
-        return max(whole - account.own - account.out(now), 0)
+    def _free_own(self, account: Account, now: float) -> int:
+        open_slots = account.share if now >= self.opens_at else account.share - account.share // 2
+        return max(open_slots - account.own_taken - account.outstanding(now), 0)
 
     def take(self, key: str, now: float) -> bool:
-        """Takes a place: a borrowed one first, as it may be taken for a short time alone."""
+        """Takes a slot, a borrowed one first since it can be taken only for a short time. False if none is
+        free."""
         account = self._account(key)
         if account is None:
             return False
         for lots in account.lots.values():
             for lot in lots:
-                if lot.until > now and lot.free:
+                if lot.ends_at > now and lot.free:
                     lot.free -= 1
                     lot.taken += 1
                     return True
-        if self._own_free(account, now) < 1:
+        if self._free_own(account, now) < 1:
             return False
-        account.own += 1
+        account.own_taken += 1
         return True
 
     def release(self, key: str) -> None:
-        """What a place was taken for is over. It is the borrowed place that ends first which is free then."""
+        """Frees a slot: of the borrowed ones that which ends first, else an own item."""
         account = self.accounts.get(key)
         if account is None:
             return
         taken = [lot for lots in account.lots.values() for lot in lots if lot.taken]
         if taken:
-            min(taken, key=lambda lot: lot.until).taken -= 1
-        elif account.own:
-            account.own -= 1
+            min(taken, key=lambda lot: lot.ends_at).taken -= 1
+        elif account.own_taken:
+            account.own_taken -= 1
 
     # -- between instances
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, LoanRequest]]:
-        """What to ask of whom; and who is told that places are free again."""
-        there = sorted(set(present))
-        wanted: dict[str, list[LoanItem]] = {}
+        """Requests to send now, with their receivers; they also report slots that are free again."""
+        present_names = sorted(set(present))
+        items_by_owner: dict[str, list[LoanItem]] = {}
         for key in list(self.active_keys):
             account = self.accounts[key]
-            self._clear(account, now)
-            need = self._need(account, now)
-            idle = now - account.asked_at > IDLE_MS and not account.taken
-            for owner, tokens in self._askable(account, there, need):
-                spent = tuple(account.done.get(owner, ()))[-SPENT_A_MESSAGE:]
+            self._return_lots(account, now)
+            needed = self._slots_needed(account, now)
+            idle = now - account.requested_at > IDLE_MS and not account.taken
+            for owner, tokens in self._owners_to_ask(account, present_names, needed):
+                spent = tuple(account.freed.get(owner, ()))[-SPENT_LOTS_PER_ITEM:]
                 if tokens or spent:
-                    wanted.setdefault(owner, []).append(LoanItem(key, tokens, spent))
-            if idle and not any(account.done.values()):
+                    items_by_owner.setdefault(owner, []).append(LoanItem(key, tokens, spent))
+            if idle and not any(account.freed.values()):
                 del self.active_keys[key]
-        self.asking = {n: asked for n, asked in self.asking.items() if now - asked[1] <= self.terms.loan_ms}
-        found = []
-        for owner, many in wanted.items():
-            self.number = self.number % NUMBERS + 1
-            self.asking[self.number] = owner, now
-            found.append((owner, LoanRequest(self.number, tuple(many[:10]))))
-        return found
-
-    def _clear(self, account: Account, now: float) -> None:
-        """Lots that nothing is held of, and that can be taken from no more, go back to their owners."""
+        self.pending = {n: sent for n, sent in self.pending.items() if now - sent[1] <= self.terms.loan_ms}
+        requests = []
+        for owner, items in items_by_owner.items():
+            self.last_number = self.last_number % REQUEST_NUMBER_MAX + 1
+            self.pending[self.last_number] = owner, now
+            requests.append((owner, LoanRequest(self.last_number, tuple(items[:10]))))
+        return requests
+
+    def _return_lots(self, account: Account, now: float) -> None:
+        """Queues lots for return that have no slot in use and none left to take."""
         for owner, lots in account.lots.items():
-            done = account.done.setdefault(owner, {})
+            freed = account.freed.setdefault(owner, {})
             for lot in lots:
-                if not lot.taken and (lot.until <= now or not lot.free):
-                    done[lot.number] = lot.until + self.terms.hold_ms
-            lots[:] = [lot for lot in lots if lot.number not in done]
-            account.done[owner] = {number: until for number, until in done.items() if until > now}
-
-    def _need(self, account: Account, now: float) -> int:
-        """How many more places are asked for: where most of those that there are have been taken."""
-        missed, account.missed = account.missed, 0
+                if not lot.taken and (lot.ends_at <= now or not lot.free):
+                    freed[lot.number] = lot.ends_at + self.terms.hold_ms
+            lots[:] = [lot for lot in lots if lot.number not in freed]
+            account.freed[owner] = {number: ends_at for number, ends_at in freed.items() if ends_at > now}
+
+    def _slots_needed(self, account: Account, now: float) -> int:
+        """How items more slots to request: some if most are in use or requests were rejected."""
+        shed, account.shed = account.shed, 0
         taken = account.taken
         free = self._free(account, now)
-        if not missed and taken < FULL * (taken + free):
+        if not shed and taken < GROWTH_THRESHOLD * (taken + free):
             return 0
-        return max(math.ceil(MORE * taken) + missed - free, 0)
+        return max(math.ceil(GROWTH_SHARE * taken) + shed - free, 0)
 
-    def _askable(self, account: Account, there: list[str], need: int) -> list[tuple[str, int]]:
-        """Whom to ask for how many; those that have something to be told are asked in any case."""
-        others = [name for name in account.owners if name != self.me and name in there]
-        drawn = self.rng.sample(others, min(OWNERS_A_TICK, len(others), max(need, 0)))
-        each = math.ceil(need / len(drawn)) if drawn else 0
-        return [(name, each if name in drawn else 0) for name in others]
+    def _owners_to_ask(
+        self, account: Account, present_names: list[str], needed: int
+    ) -> list[tuple[str, int]]:
+        """Present owners with the number of slots to request of each; 0 for those that only get reports."""
+        others = [name for name in account.owners if name != self.name and name in present_names]
+        selected = self.rng.sample(others, min(OWNERS_PER_TICK, len(others), max(needed, 0)))
+        each = math.ceil(needed / len(selected)) if selected else 0
+        return [(name, each if name in selected else 0) for name in others]
 
     def handle_loan_request(
-        self, now: float, borrower: str, life: Incarnation, want: LoanRequest
+        self, now: float, borrower: str, incarnation: Incarnation, request: LoanRequest
     ) -> LoanGrant:
-        """What is lent of what is asked for; what is said to be free again comes back."""
+        """Handles a request: lends free slots, and takes back those reported as free."""
         lent = []
-        for one in want.items:
-            account = self._account(one.key)
-            if account is None or not account.part:
+        for item in request.items:
+            account = self._account(item.key)
+            if account is None or not account.share:
                 continue
-            loan = account.loans.get((borrower, life))
+            loan = account.loans.get((borrower, incarnation))
             if loan is not None:
-                loan.release(one.spent)
-                if want.number in loan.lots:  # asked twice
-                    lent.append(LentTokens(one.key, loan.lots[want.number][1]))
+                loan.release(item.spent)
+                if request.number in loan.lots:  # a duplicate of this request
+                    lent.append(LentTokens(item.key, loan.lots[request.number][1]))
                     continue
-            out = account.out(now)
-            places = min(one.tokens, account.part // 2 - out, account.part - account.own - out)
-            if now >= self.opens_at and places > 0:
-                account.loans.setdefault((borrower, life), Loan()).lots[want.number] = (
+            outstanding = account.outstanding(now)
+            slots = min(
+                item.tokens, account.share // 2 - outstanding, account.share - account.own_taken - outstanding
+            )
+            if now >= self.opens_at and slots > 0:
+                account.loans.setdefault((borrower, incarnation), Loan()).lots[request.number] = (
                     now + self.terms.outstanding_ms,
-                    places,
+                    slots,
                 )
-                lent.append(LentTokens(one.key, places))
-        return LoanGrant(want.number, tuple(lent))
+                lent.append(LentTokens(item.key, slots))
+        return LoanGrant(request.number, tuple(lent))
 
     def handle_loan_grant(self, now: float, owner: str, grant: LoanGrant) -> None:
-        of, asked_at = self.asking.pop(grant.number, ("", 0.0))
-        until = asked_at + self.terms.loan_ms
-        if of != owner or now >= until:
+        """Handles a grant. It counts once, only from the owner that was asked, and until its end."""
+        asked_owner, requested_at = self.pending.pop(grant.number, ("", 0.0))
+        ends_at = requested_at + self.terms.loan_ms
+        if asked_owner != owner or now >= ends_at:
             return
-        for one in grant.lent:
-            account = self._account(one.key)
+        for item in grant.lent:
+            account = self._account(item.key)
             if account is not None:
                 insort(
                     account.lots.setdefault(owner, []),
-                    Lot(until, grant.number, one.tokens),
-                    key=lambda lot: lot.until,
+                    Lot(ends_at, grant.number, item.tokens),
+                    key=lambda lot: lot.ends_at,
                 )
 
     def usable_slots(self, key: str, now: float) -> int:
-        """Places taken here, or that could be, for those who check the sum."""
+        """Slots in use here or free to be taken; for checks of the invariant."""
         account = self._account(key)
         if account is None:
             return 0
--- a/notchflow/cluster/fleet_size.py
+++ b/notchflow/cluster/fleet_size.py
@@ -1,7 +1,7 @@
-"""How many proxies there are, as the module is told: damped, so that a member that flaps moves nothing.
+"""Number of instances in the fleet as announced to the policy, damped against flapping members. No I/O.
 
-Pure. What is known to the module of other proxies is their number alone; it learns again from the start what
-it knew where that number passes a threshold, so that a wrong number is cheaper than one that flaps.
+The policy knows only the number of instances. When that number crosses a threshold the policy discards what
+it has learned, so a wrong number costs less than one that flaps.
 """
 
 from __future__ import annotations
@@ -10,33 +10,36 @@
 
 from notchflow.cluster.model import Standing
 
-HEARS = (Standing.WHOLE, Standing.MAJORITY)
+MAJORITY_STANDINGS = (Standing.WHOLE, Standing.MAJORITY)
 
 
 @dataclass(slots=True)
 class FleetSize:
-    """The number in force. More are taken over after `up_ms` in which there were never fewer than that, fewer
-    after `down_ms`. Who hears less than a majority keeps the number: the others serve the same boxes still,
-    whether they are heard or not."""
+    """The announced number of instances.
+
+    It rises after `up_ms` in which never fewer were present, and falls after `down_ms` in which never more
+    were. It is kept while this instance reaches less than a majority: the other instances still send to the
+    same nodes, whether or not they are reachable from here.
+    """
 
     value: int = 1
     up_ms: float = 2_000.0
     down_ms: float = 30_000.0
-    wanted: int = 1
-    since: float = 0.0
+    candidate: int = 1
+    candidate_since: float = 0.0
 
-    def observe(self, now: float, living: int, standing: Standing) -> bool:
-        """What is seen now; whether the number in force has changed by it."""
-        if standing not in HEARS or living == self.value:
-            self.wanted, self.since = self.value, now
+    def observe(self, now: float, present: int, standing: Standing) -> bool:
+        """Records how many members are present now; True if the announced number changed."""
+        if standing not in MAJORITY_STANDINGS or present == self.value:
+            self.candidate, self.candidate_since = self.value, now
             return False
-        if (living > self.value) != (self.wanted > self.value) or self.wanted == self.value:
-            self.wanted, self.since = living, now
-        elif living > self.value:
-            self.wanted = min(self.wanted, living)
+        if (present > self.value) != (self.candidate > self.value) or self.candidate == self.value:
+            self.candidate, self.candidate_since = present, now
+        elif present > self.value:
+            self.candidate = min(self.candidate, present)
         else:
-            self.wanted = max(self.wanted, living)
-        if now - self.since < (self.up_ms if self.wanted > self.value else self.down_ms):
+            self.candidate = max(self.candidate, present)
+        if now - self.candidate_since < (self.up_ms if self.candidate > self.value else self.down_ms):
             return False
-        self.value, self.since = self.wanted, now
+        self.value, self.candidate_since = self.candidate, now
         return True
--- a/notchflow/cluster/history.py
+++ b/notchflow/cluster/history.py
@@ -1,4 +1,5 @@
-"""What an instance was and saw, as JSON lines by the machine's one monotonic clock: the form that merges."""
+"""History of an instance as JSON lines with monotonic timestamps, so that histories of one machine can be
+merged."""
 
 from __future__ import annotations
 
@@ -10,49 +11,50 @@
 from typing import Any, Final
 
 log = logging.getLogger(__name__)
-SIZE_MAX: Final = 16 << 20  # bytes of a file; then it is kept once as NAME.1 and begun anew
+FILE_BYTES_MAX: Final = 16 << 20  # then the file is renamed to NAME.1 and a new one begins
 
 
 class History:
-    """Lines of one instance. A disk that fails costs the lines, never the service."""
+    """Writes the history of one instance. Errors of the disk lose lines but never stop the service."""
 
     def __init__(self, path: Path | None, who: str) -> None:
         self.path, self.who = path, who
-        self.handle = -1
+        self.fd = -1
         self.size = 0
-        self.lost = 0
+        self.lost_lines = 0
         if path is not None:
             self._open()
 
     def _open(self) -> None:
         assert self.path is not None
         try:
-            self.handle = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o640)
-            self.size = os.fstat(self.handle).st_size
+            self.fd = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o640)
+            self.size = os.fstat(self.fd).st_size
         except OSError as error:
             log.warning("the history cannot be written: %s", error)
 
     def note(self, incarnation: str, what: str, **more: Any) -> None:
-        """Adds one line, whole or not at all."""
-        if self.handle < 0:
+        """Appends one line with a single write."""
+        if self.fd < 0:
             return
         line = {"t": time.monotonic_ns(), "who": self.who, "incarnation": incarnation, "what": what, **more}
         data = json.dumps(line, separators=(",", ":")).encode() + b"\n"
         try:
-            if self.size + len(data) > SIZE_MAX:
-                self._turn()
-            self.size += os.write(self.handle, data)
+            if self.size + len(data) > FILE_BYTES_MAX:
+                self._rotate()
+            self.size += os.write(self.fd, data)
         except OSError as error:
-            self.lost += 1
+            self.lost_lines += 1
             log.warning("the history cannot be written: %s", error)
 
-    def _turn(self) -> None:
+    def _rotate(self) -> None:
         assert self.path is not None
         os.rename(self.path, self.path.with_name(self.path.name + ".1"))
-        os.close(self.handle)
+        os.close(self.fd)
         self._open()
 
     def close(self) -> None:
-        if self.handle >= 0:
-            os.close(self.handle)
-            self.handle = -1
+        """Closes the file."""
+        if self.fd >= 0:
+            os.close(self.fd)
+            self.fd = -1
--- a/notchflow/cluster/identity.py
+++ b/notchflow/cluster/identity.py
@@ -1,4 +1,5 @@
-"""What an instance keeps of itself: its name, and the epoch of its last life, in a folder of its own."""
+"""Persistent identity of an instance: its name and the epoch of its last incarnation, in its own state
+folder."""
 
 from __future__ import annotations
 
@@ -8,29 +9,31 @@
 from pathlib import Path
 from typing import Final
 
-FILE: Final = "identity.json"
+IDENTITY_FILE: Final = "identity.json"
 
 
 class IdentityError(Exception):
-    """The folder is another instance's, or cannot be used; the text says what to do."""
+    """The state folder or the secret cannot be used; the message names the remedy."""
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """What a start found: the epoch of its life, and what was odd of the folder (empty: nothing)."""
+class StartedIncarnation:
+    """Result of a start: the epoch of the new incarnation, and an anomaly of the folder (empty if none)."""
 
     epoch: int
     anomaly: str
 
 
-def begin_incarnation(folder: Path, name: str, wall_ms: int) -> Taken:
-    """Begins a life: its epoch is above the last one's and, where the folder was lost, above any earlier
-    one's as far as the wall clock goes; if that was set back the fleet corrects it. IdentityError, OSError.
+def begin_incarnation(folder: Path, name: str, wall_ms: int) -> StartedIncarnation:
+    """Begins an incarnation and stores its epoch. IdentityError, OSError.
+
+    The epoch is greater than the last one. If the folder was lost it is greater than earlier epochs as far as
+    the wall clock (`wall_ms`) goes; if that was set back, the fleet corrects the epoch.
     """
-    path = folder / FILE
+    path = folder / IDENTITY_FILE
     try:
         text: str | None = path.read_text(encoding="utf-8")
-        found = os.stat(path)
+        stat = os.stat(path)
     except FileNotFoundError:
         text = None
     last, anomaly = 0, ""
@@ -40,44 +43,44 @@
         try:
             data = json.loads(text)
             owner, last = str(data["name"]), int(data["epoch"])
-            where = int(data["device"]), int(data["inode"])
+            location = int(data["device"]), int(data["inode"])
         except (ValueError, KeyError, TypeError) as error:
-            anomaly = f"{path} is damaged ({error!r}) and is written anew"
+            anomaly = f"{path} is damaged ({error!r}) and is rewritten"
         else:
             if owner != name:
                 raise IdentityError(
                     f"{path}: the folder is {owner!r}'s, and cluster.name is {name!r}; give "
                     "each name a state folder of its own, or remove this file to pass it on"
                 )
-            if where != (found.st_dev, found.st_ino):
-                anomaly = f"{path} was copied or restored; if its origin still runs, the newer has the name"
+            if location != (stat.st_dev, stat.st_ino):
+                anomaly = f"{path} was copied or restored; if the original runs, the newer one has the name"
     epoch = max(last + 1, wall_ms)
     save_epoch(folder, name, epoch)
-    return Taken(epoch, anomaly)
+    return StartedIncarnation(epoch, anomaly)
 
 
 def save_epoch(folder: Path, name: str, epoch: int) -> None:
-    """Makes the epoch durable; what was there stays whole until then. OSError."""
+    """Stores the epoch durably, by replacing the file atomically. OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    path, fresh = folder / FILE, folder / (FILE + ".new")
-    handle = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    path, draft = folder / IDENTITY_FILE, folder / (IDENTITY_FILE + ".new")
+    fd = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
-        own = os.fstat(handle)
-        data = {"name": name, "epoch": epoch, "device": own.st_dev, "inode": own.st_ino}
-        os.write(handle, json.dumps(data).encode())
-        os.fsync(handle)
+        stat = os.fstat(fd)
+        data = {"name": name, "epoch": epoch, "device": stat.st_dev, "inode": stat.st_ino}
+        os.write(fd, json.dumps(data).encode())
+        os.fsync(fd)
     finally:
-        os.close(handle)
-    os.rename(fresh, path)
-    above = os.open(folder, os.O_RDONLY)
+        os.close(fd)
+    os.rename(draft, path)
+    folder_fd = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(above)
+        os.fsync(folder_fd)
     finally:
-        os.close(above)
+        os.close(folder_fd)
 
 
-def read_secret(path: Path, least: int) -> bytes:
-    """The fleet's secret. IdentityError where it is missing, short, or not its owner's alone."""
+def read_secret(path: Path, bytes_min: int) -> bytes:
+    """Reads the fleet's secret. IdentityError if it is missing, too short, or accessible by others."""
     try:
         mode = path.stat().st_mode
         secret = path.read_bytes()
@@ -88,6 +91,6 @@
         ) from None
     if mode & 0o077:
         raise IdentityError(f"is {str(path)!r}, which others may use (mode {mode & 0o777:o}); chmod 600")
-    if len(secret) < least:
-        raise IdentityError(f"is {str(path)!r} with {len(secret)} bytes; at least {least}")
+    if len(secret) < bytes_min:
+        raise IdentityError(f"is {str(path)!r} with {len(secret)} bytes; at least {bytes_min}")
     return secret
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -11,7 +11,7 @@
 import pytest
 
 from notchflow.cluster import budgets
-from notchflow.cluster.budgets import Account, Budgets, Held, Loan, Lot, Part, TokenTerms, owners
+from notchflow.cluster.budgets import Account, Borrowed, Budgets, Loan, Lot, Share, TokenTerms, owners
 from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.budget_explorer import BUDGETS, Play, Scope, explore
@@ -32,11 +32,11 @@
     return made
 
 
-NUMBERS = itertools.count(1)
+REQUEST_NUMBER_MAX = itertools.count(1)
 
 
 def lent(core: Budgets, now: float, tokens: int, spent: tuple[int, ...] = (), number: int = 0) -> int:
-    want = LoanRequest(number or next(NUMBERS), (LoanItem("t", tokens, spent),))
+    want = LoanRequest(number or next(REQUEST_NUMBER_MAX), (LoanItem("t", tokens, spent),))
     return sum(one.tokens for one in core.handle_loan_request(now, "p2", LIFE, want).lent)
 
 
@@ -110,9 +110,9 @@
     core = opened("p2")
     core.take("t", 10_000.0, 100.0, 20.0)
     account = core.accounts["t"]
-    account.held["p1"] = Held()
-    account.held["p1"].add(Lot(10_400.0, 5, 1))
-    account.level, account.part = 0.0, None
+    account.borrowed_by_owner["p1"] = Borrowed()
+    account.borrowed_by_owner["p1"].add(Lot(10_400.0, 5, 1))
+    account.level, account.share = 0.0, None
     assert core.take("t", 10_399.0, 100.0, 20.0) == 0.0
     assert core.take("t", 60_000.0, 100.0, 20.0) > 0.0
 
@@ -129,7 +129,7 @@
     """Against the borrower's own count: random grants, uses and reports, some of them lost or late."""
     rng = random.Random(3)
     for _ in range(300):
-        loan, held, now = Loan(), Held(), 0.0
+        loan, held, now = Loan(), Borrowed(), 0.0
         reports: list[tuple[int, ...]] = [()]
         for number in range(40):
             now += rng.uniform(0, 150)
@@ -138,20 +138,20 @@
                 loan.lots[number] = now + TERMS.outstanding_ms, tokens
                 if rng.random() < 0.8:
                     held.add(Lot(now - late + TERMS.loan_ms, tokens, number))
-            if held.there(now) and rng.random() < 0.6:
+            if held.available(now) and rng.random() < 0.6:
                 held.spend()
             if rng.random() < 0.5:
-                reports.append(held.report(now))
+                reports.append(held.spent_lots(now))
             if rng.random() < 0.5:
                 loan.release(rng.choice(reports))
-            assert loan.out(now) >= held.there(now)
+            assert loan.outstanding(now) >= held.available(now)
 
 
 def test_the_promised_times_are_one_after_the_other_at_the_pace_of_what_comes() -> None:
     core = opened(rate=2.0, burst=2.0)
     assert core.take("t", 10_000.0, 2.0, 2.0) == 0.0
     waits = [core.take("t", 10_000.0, 2.0, 2.0) for _ in range(4)]
-    step = 1.0 / budgets.KEPT_PROMISES
+    step = 1.0 / budgets.PROMISED_RATE_SHARE
     assert waits == pytest.approx([step, 2 * step, 3 * step, 4 * step])
 
 
@@ -161,8 +161,8 @@
         for _ in range(20):
             core.take(f"tenant-{number}", 10_000.0, 10.0, 10.0)
     asked = core.tick(10_050.0, ["p2"])
-    assert len(asked) == budgets.MESSAGES_A_TICK
-    assert max(len(want.items) for _, want in asked) == budgets.TENANTS_A_MESSAGE
+    assert len(asked) == budgets.MESSAGES_PER_TICK
+    assert max(len(want.items) for _, want in asked) == budgets.ITEMS_PER_MESSAGE
     assert (
         not core.tick(20_000.0, ["p2"]) and not core.active_keys
     ), "who is not asked any more asks for nothing"
@@ -257,15 +257,15 @@
     before = Budgets.handle_loan_grant
 
     def granted(self: Budgets, now: float, owner: str, grant: LoanGrant) -> None:
-        if grant.number in self.asking:
-            self.asking[grant.number] = owner, now
+        if grant.number in self.pending:
+            self.pending[grant.number] = owner, now
         before(self, now, owner, grant)
 
     patch.setattr(Budgets, "handle_loan_grant", granted)
 
 
 def a_loan_is_forgotten_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Account, "out", lambda self, now: 0.0)
+    patch.setattr(Account, "outstanding", lambda self, now: 0.0)
 
 
 def the_owner_waits_half_as_long(patch: pytest.MonkeyPatch) -> None:
@@ -283,15 +283,15 @@
 
 
 def a_part_is_full_after_a_start(patch: pytest.MonkeyPatch) -> None:
-    before = Account.state
+    before = Account.set_limit
 
-    def state(self: Account, me: str, roster: list[str], rate: float, burst: float) -> None:
+    def set_limit(self: Account, me: str, roster: list[str], rate: float, burst: float) -> None:
         fresh = self.rate < 0
         before(self, me, roster, rate, burst)
-        if fresh and self.part is not None:
-            self.level = self.part.burst
+        if fresh and self.share is not None:
+            self.level = self.share.burst
 
-    patch.setattr(Account, "state", state)
+    patch.setattr(Account, "set_limit", set_limit)
 
 
 def a_grant_counts_twice(patch: pytest.MonkeyPatch) -> None:
@@ -303,13 +303,13 @@
 
     def begin(self: Budgets, *rest: Any) -> None:
         before(self, *rest)
-        self.asking = Kept()
+        self.pending = Kept()
 
     patch.setattr(Budgets, "__init__", begin)
 
 
 def lots_do_not_end(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Held, "there", lambda self, now: sum(lot.tokens for lot in self.lots))
+    patch.setattr(Borrowed, "available", lambda self, now: sum(lot.tokens for lot in self.lots))
 
 
 def what_is_lent_is_kept_as_well(patch: pytest.MonkeyPatch) -> None:
@@ -323,17 +323,17 @@
         return tokens
 
     patch.setattr(Budgets, "_lend", lend)
-    patch.setattr(Account, "out", lambda self, now: 0.0)
+    patch.setattr(Account, "outstanding", lambda self, now: 0.0)
 
 
 def what_is_borrowed_is_said_to_be_spent(patch: pytest.MonkeyPatch) -> None:
-    before = Held.add
+    before = Borrowed.add
 
-    def add(self: Held, lot: Lot) -> None:
+    def add(self: Borrowed, lot: Lot) -> None:
         before(self, lot)
         self.spent[lot.number] = lot.ends_at
 
-    patch.setattr(Held, "add", add)
+    patch.setattr(Borrowed, "add", add)
 
 
 def one_report_frees_all_lots(patch: pytest.MonkeyPatch) -> None:
@@ -341,31 +341,31 @@
 
 
 def every_owner_has_the_whole(patch: pytest.MonkeyPatch) -> None:
-    before = Account.state
+    before = Account.set_limit
 
-    def state(self: Account, me: str, roster: list[str], rate: float, burst: float) -> None:
+    def set_limit(self: Account, me: str, roster: list[str], rate: float, burst: float) -> None:
         before(self, me, roster, rate, burst)
-        if self.part is not None:
-            self.part = Part(rate, burst)
+        if self.share is not None:
+            self.share = Share(rate, burst)
 
-    patch.setattr(Account, "state", state)
+    patch.setattr(Account, "set_limit", set_limit)
 
 
 def a_lent_token_can_be_used_again(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Held, "spend", lambda self: None)
+    patch.setattr(Borrowed, "spend", lambda self: None)
 
 
 def a_part_of_a_token_is_enough(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(budgets, "WHOLE", 0.5)
+    patch.setattr(budgets, "WHOLE_TOKEN", 0.5)
 
 
 def time_brings_twice_as_much(patch: pytest.MonkeyPatch) -> None:
     before = Account.fill
 
     def fill(self: Account, now: float, opens_at: float) -> None:
-        at = self.at
+        at = self.filled_at
         before(self, now, opens_at)
-        self.at = at + (now - at) / 2 if now > at else at
+        self.filled_at = at + (now - at) / 2 if now > at else at
 
     patch.setattr(Account, "fill", fill)
 
--- a/tests/cluster/test_counts.py
+++ b/tests/cluster/test_counts.py
@@ -6,15 +6,15 @@
 
 from notchflow.cluster.fleet_metrics import (
     CLASS_PREFIX,
-    GAUGES,
-    MESSAGES_A_TICK,
-    ROWS_A_MESSAGE,
+    GAUGE_COLUMNS,
+    MESSAGES_PER_TICK,
+    ROWS_PER_MESSAGE,
     TENANT_METRICS,
     TENANTS_MAX,
     ZERO,
     FleetMetrics,
     MetricValues,
-    fitted,
+    normalize,
 )
 from notchflow.cluster.messages import MetricsAck, MetricsRow, MetricsUpdate
 from notchflow.cluster.model import Incarnation
@@ -156,7 +156,7 @@
     told = 0
     for _ in range(100):
         messages = [m for name, m in ledger.tick({"p2": Incarnation(1, 1)})]
-        assert len(messages) <= MESSAGES_A_TICK and all(len(m.rows) <= ROWS_A_MESSAGE for m in messages)
+        assert len(messages) <= MESSAGES_PER_TICK and all(len(m.rows) <= ROWS_PER_MESSAGE for m in messages)
         if not messages[0].rows:
             break
         told += sum(len(m.rows) for m in messages)
@@ -167,13 +167,13 @@
     ((_, message),) = ledger.tick({"p2": Incarnation(1, 1)})
     assert [row.tenant for row in message.rows] == ["t7"]
     (_, message), *_ = ledger.tick({"p2": Incarnation(2, 1)})
-    assert len(message.rows) == ROWS_A_MESSAGE, "a new life of p2 knows nothing"
+    assert len(message.rows) == ROWS_PER_MESSAGE, "a new life of p2 knows nothing"
 
 
 def test_memory_is_bounded_by_tenants_and_other_forms_of_rows_are_fitted() -> None:
     ledger = FleetMetrics("p1", NAMES)
     for number in range(TENANTS_MAX + 5):
         ledger.set(f"t{number}", values(1))
-    assert len(ledger.own) == TENANTS_MAX and ledger.untold == 5
-    assert fitted((1, 2)) == (1, 2, *ZERO[2:]) and len(fitted(tuple(range(30)))) == len(TENANT_METRICS)
-    assert GAUGES == 2 and TENANT_METRICS[-GAUGES:] == ("open", "held")
+    assert len(ledger.own) == TENANTS_MAX and ledger.unreported_tenants == 5
+    assert normalize((1, 2)) == (1, 2, *ZERO[2:]) and len(normalize(tuple(range(30)))) == len(TENANT_METRICS)
+    assert GAUGE_COLUMNS == 2 and TENANT_METRICS[-GAUGE_COLUMNS:] == ("open", "held")
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -329,7 +329,7 @@
 
 @pytest.mark.parametrize("text", ["", "{", '{"name": "p1"}', "[]"])
 def test_a_damaged_file_is_told_and_written_anew(tmp_path: Path, text: str) -> None:
-    (tmp_path / identity.FILE).write_text(text)
+    (tmp_path / identity.IDENTITY_FILE).write_text(text)
     taken = identity.begin_incarnation(tmp_path, "p1", 77)
     assert "damaged" in taken.anomaly and taken.epoch == 77
     assert identity.begin_incarnation(tmp_path, "p1", 0).epoch == 78
@@ -371,13 +371,13 @@
 def test_a_history_is_bounded_and_a_disk_that_fails_costs_no_more_than_lines(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("notchflow.cluster.history.SIZE_MAX", 2_000)
+    monkeypatch.setattr("notchflow.cluster.history.FILE_BYTES_MAX", 2_000)
     history = History(tmp_path / "h", "p1")
     for number in range(60):
         history.note("1.a", "line", number=number)
     sizes = [path.stat().st_size for path in sorted(tmp_path.iterdir())]
     assert len(sizes) == 2 and max(sizes) <= 2_000
     assert merge([tmp_path / "h"])[-1]["number"] == 59
-    os.close(history.handle)
+    os.close(history.fd)
     history.note("1.a", "line", number=60)
-    assert history.lost == 1
+    assert history.lost_lines == 1
--- a/tests/cluster/test_holds.py
+++ b/tests/cluster/test_holds.py
@@ -140,7 +140,7 @@
             core = ConcurrencyLimits(name, NAMES, TERMS, random.Random(1), 0.0)
             core.set_limit("t", limit)
             core.free("t", 0.0)
-            parts.append(core.accounts["t"].part)
+            parts.append(core.accounts["t"].share)
         assert sum(parts) == limit
 
 
@@ -160,7 +160,7 @@
 
 
 def an_owner_forgets_what_it_lent(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Account, "out", lambda self, now: 0)
+    patch.setattr(Account, "outstanding", lambda self, now: 0)
 
 
 def an_owner_does_not_wait_for_requests_to_end(patch: pytest.MonkeyPatch) -> None:
@@ -180,8 +180,8 @@
 def the_own_place_is_freed_first(patch: pytest.MonkeyPatch) -> None:
     def release(self: ConcurrencyLimits, key: str) -> None:
         account = self.accounts[key]
-        if account.own:
-            account.own -= 1
+        if account.own_taken:
+            account.own_taken -= 1
         else:
             lots = [lot for many in account.lots.values() for lot in many if lot.taken]
             if lots:
