--- a/tests/cluster/test_counts.py
+++ b/tests/cluster/test_counts.py
@@ -1,4 +1,4 @@
-"""Figures by tenant over the fleet: never more than was counted, and all of it once messages come through."""
+"""Fleet metrics: sums never exceed what was counted, and reach it once messages arrive."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 FOREVER = 1e12
 
 
-def test_classes_are_counted_beside_tenants_and_a_life_that_ends_leaves_its_counters() -> None:
+def test_classes_are_separate_from_tenants_and_counters_outlive_their_incarnation() -> None:
     net = Net(3, 0.0)
     read = (5, 2, 1, 0, 7, 0, 0, 0, 0, 3, 0)  # in the order of CLASS_METRICS
     for ledger in net.ledgers.values():
-        ledger.set("read", values(9))  # a tenant may have a class's name
+        ledger.set("read", values(9))  # a tenant may have the name of a class
         ledger.set(CLASS_PREFIX + "read", read)
     net.round()
     found = net.ledgers["p1"].sum(net.now, CLASS_PREFIX + "read", frozenset(), FOREVER).values
     assert found == {"fulfilled": 15, "throttled": 6, "faulted": 3, "departed": 0, "relayed": 21, "open": 9}
     assert net.ledgers["p1"].sum(net.now, "read", frozenset(), FOREVER).values["asked"] == 27
-    net.ledgers["p3"], net.lives["p3"] = FleetMetrics("p3", NAMES), Incarnation(2, 1)
+    net.ledgers["p3"], net.incarnations["p3"] = FleetMetrics("p3", NAMES), Incarnation(2, 1)
     net.ledgers["p3"].set(CLASS_PREFIX + "pay", read)
     net.round()
     found = net.ledgers["p1"].sum(net.now, CLASS_PREFIX + "read", frozenset(), FOREVER).values
-    assert (found["fulfilled"], found["open"]) == (15, 6), "what was open has gone with its life"
+    assert (found["fulfilled"], found["open"]) == (15, 6), "gauges end with their incarnation"
     assert net.ledgers["p1"].classes() == ["pay", "read"]
 
 
@@ -46,47 +46,51 @@
 
 
 class Net:
-    """Ledgers and what passes between them; some of it lost, doubled or late."""
+    """Instances and the messages between them, some lost, duplicated or delayed."""
 
     def __init__(self, seed: int, loss: float) -> None:
         self.rng, self.loss = random.Random(seed), loss
         self.ledgers = {name: FleetMetrics(name, NAMES) for name in NAMES}
-        self.lives = {name: Incarnation(1, 1) for name in NAMES}
-        self.late: list[tuple[str, Incarnation, str, MetricsUpdate | MetricsAck]] = []
+        self.incarnations = {name: Incarnation(1, 1) for name in NAMES}
+        self.delayed: list[tuple[str, Incarnation, str, MetricsUpdate | MetricsAck]] = []
         self.now = 0.0
 
     def round(self) -> None:
         self.now += 500.0
         for name, ledger in self.ledgers.items():
-            lives = {other: life for other, life in self.lives.items() if other != name}
-            for to, message in ledger.tick(lives):
-                self.pass_on(name, self.lives[name], to, message)
-        late, self.late = self.late, []
-        for sender, life, to, body in late:
-            self.arrive(sender, life, to, body)
-
-    def pass_on(self, sender: str, life: Incarnation, to: str, body: MetricsUpdate | MetricsAck) -> None:
+            incarnations = {
+                other: incarnation for other, incarnation in self.incarnations.items() if other != name
+            }
+            for to, message in ledger.tick(incarnations):
+                self.send(name, self.incarnations[name], to, message)
+        delayed, self.delayed = self.delayed, []
+        for sender, incarnation, to, body in delayed:
+            self.arrive(sender, incarnation, to, body)
+
+    def send(self, sender: str, incarnation: Incarnation, to: str, body: MetricsUpdate | MetricsAck) -> None:
         if self.rng.random() < self.loss:
             return
         if self.rng.random() < self.loss:
-            self.late.append((sender, life, to, body))
+            self.delayed.append((sender, incarnation, to, body))
         for _ in range(2 if self.rng.random() < self.loss else 1):
-            self.arrive(sender, life, to, body)
+            self.arrive(sender, incarnation, to, body)
 
-    def arrive(self, sender: str, life: Incarnation, to: str, body: MetricsUpdate | MetricsAck) -> None:
+    def arrive(
+        self, sender: str, incarnation: Incarnation, to: str, body: MetricsUpdate | MetricsAck
+    ) -> None:
         ledger = self.ledgers[to]
         if isinstance(body, MetricsAck):
-            ledger.handle_ack(sender, life, body)
+            ledger.handle_ack(sender, incarnation, body)
             return
-        answer = ledger.handle_update(self.now, sender, life, body)
+        answer = ledger.handle_update(self.now, sender, incarnation, body)
         if answer is not None:
-            self.pass_on(to, self.lives[to], sender, answer)
+            self.send(to, self.incarnations[to], sender, answer)
 
     def asked(self, at: str, tenant: str) -> int:
         return self.ledgers[at].sum(self.now, tenant, frozenset(), FOREVER).values["asked"]
 
 
-def test_figures_come_together_through_loss_doubling_delay_and_new_lives() -> None:
+def test_metrics_converge_despite_loss_duplication_delay_and_restarts() -> None:
     for seed in range(30):
         net, rng = Net(seed, 0.3), random.Random(seed)
         counted = {name: dict.fromkeys(("a", "b", "c"), 0) for name in NAMES}
@@ -97,23 +101,23 @@
             net.ledgers[name].set(tenant, values(counted[name][tenant]))
             net.round()
             for at in NAMES:
-                for one in ("a", "b", "c"):
-                    assert net.asked(at, one) <= sum(c[one] for c in counted.values()) + ended[one]
-            if rng.random() < 0.05:  # a member is started again, all of it known to somebody or not
-                for one in ("a", "b", "c"):
-                    ended[one] += counted[name][one]
+                for key in ("a", "b", "c"):
+                    assert net.asked(at, key) <= sum(c[key] for c in counted.values()) + ended[key]
+            if rng.random() < 0.05:  # a restart; its last metrics may be known to others or not
+                for key in ("a", "b", "c"):
+                    ended[key] += counted[name][key]
                 counted[name] = dict.fromkeys(("a", "b", "c"), 0)
-                net.lives[name] = Incarnation(net.lives[name].epoch + 1, 1)
+                net.incarnations[name] = Incarnation(net.incarnations[name].epoch + 1, 1)
                 net.ledgers[name] = FleetMetrics(name, NAMES)
         net.loss = 0.0
         for _ in range(10):
             net.round()
-        for one in ("a", "b", "c"):
-            now = sum(c[one] for c in counted.values())
-            assert all(now <= net.asked(at, one) <= now + ended[one] for at in NAMES)
+        for key in ("a", "b", "c"):
+            now = sum(c[key] for c in counted.values())
+            assert all(now <= net.asked(at, key) <= now + ended[key] for at in NAMES)
 
 
-def test_counters_of_a_life_that_has_ended_stay_and_what_it_had_in_hand_does_not() -> None:
+def test_counters_of_an_ended_incarnation_are_kept_and_gauges_are_not() -> None:
     ledger = FleetMetrics("p1", NAMES)
     ledger.handle_update(
         0.0, "p2", Incarnation(1, 1), MetricsUpdate(0, 1, (MetricsRow("a", values(7, held=3)),))
@@ -132,7 +136,7 @@
     assert ledger.sum(2.0, "a", frozenset(), FOREVER).values["asked"] == 9
 
 
-def test_a_part_whose_beginning_is_missing_is_asked_for_again() -> None:
+def test_an_update_that_starts_after_the_known_version_is_not_applied() -> None:
     ledger = FleetMetrics("p1", NAMES)
     assert ledger.handle_update(
         0.0, "p2", Incarnation(1, 1), MetricsUpdate(5, 6, (MetricsRow("a", values(7)),))
@@ -140,37 +144,37 @@
     assert ledger.sum(0.0, "a", frozenset(), FOREVER).values["asked"] == 0
 
 
-def test_who_is_not_heard_is_said_to_be_missing_unless_it_left() -> None:
+def test_a_silent_member_is_reported_missing_unless_it_left() -> None:
     ledger = FleetMetrics("p1", NAMES)
     ledger.handle_update(0.0, "p2", Incarnation(1, 1), MetricsUpdate(0, 0, ()))
     assert ledger.sum(1_000.0, "a", frozenset(), 3_000.0).missing == ("p3",)
     assert ledger.sum(4_000.0, "a", frozenset(), 3_000.0).missing == ("p2", "p3")
-    late = ledger.sum(2_000.0, "a", frozenset({"p3"}), 3_000.0)
-    assert late.missing == () and late.age_ms == 2_000.0
+    delayed = ledger.sum(2_000.0, "a", frozenset({"p3"}), 3_000.0)
+    assert delayed.missing == () and delayed.age_ms == 2_000.0
 
 
-def test_what_is_sent_is_what_changed_in_bounded_parts() -> None:
+def test_only_changes_are_sent_in_bounded_messages() -> None:
     ledger = FleetMetrics("p1", NAMES)
     for number in range(100):
         ledger.set(f"t{number}", values(1))
-    told = 0
+    received = 0
     for _ in range(100):
         messages = [m for name, m in ledger.tick({"p2": Incarnation(1, 1)})]
         assert len(messages) <= MESSAGES_PER_TICK and all(len(m.rows) <= ROWS_PER_MESSAGE for m in messages)
         if not messages[0].rows:
             break
-        told += sum(len(m.rows) for m in messages)
+        received += sum(len(m.rows) for m in messages)
         ledger.handle_ack("p2", Incarnation(1, 1), MetricsAck(messages[-1].up_to))
-    assert told == 100
+    assert received == 100
     ledger.set("t7", values(2))
     ledger.set("t8", values(1))
     ((_, message),) = ledger.tick({"p2": Incarnation(1, 1)})
     assert [row.tenant for row in message.rows] == ["t7"]
     (_, message), *_ = ledger.tick({"p2": Incarnation(2, 1)})
-    assert len(message.rows) == ROWS_PER_MESSAGE, "a new life of p2 knows nothing"
+    assert len(message.rows) == ROWS_PER_MESSAGE, "a new incarnation of p2 has no metrics yet"
 
 
-def test_memory_is_bounded_by_tenants_and_other_forms_of_rows_are_fitted() -> None:
+def test_tenants_are_bounded_and_rows_of_other_formats_are_fitted() -> None:
     ledger = FleetMetrics("p1", NAMES)
     for number in range(TENANTS_MAX + 5):
         ledger.set(f"t{number}", values(1))
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge over real sockets: two instances and whatever else knocks; the folder, the secret, the history."""
+"""Cluster transport over real sockets, the identity folder, the secret, and the history."""
 
 from __future__ import annotations
 
@@ -30,132 +30,157 @@
 
 
 class Pair:
-    """Two instances on one loop."""
+    """Two instances on one event loop."""
 
     def __init__(
         self, secrets: tuple[bytes, bytes] = (SECRET, SECRET), settings: Settings | None = None
     ) -> None:
         self.ports = free_ports(2)
-        self.told: list[MembershipEvent] = []
-        self.edges = [self.edge(number, secrets[number], settings or Settings()) for number in (0, 1)]
+        self.events: list[MembershipEvent] = []
+        self.transports = [
+            self.make_transport(number, secrets[number], settings or Settings()) for number in (0, 1)
+        ]
 
     def at(self, number: int) -> str:
         return f"127.0.0.1:{self.ports[number]}"
 
-    def edge(self, number: int, secret: bytes, settings: Settings) -> ClusterTransport:
+    def make_transport(self, number: int, secret: bytes, settings: Settings) -> ClusterTransport:
         me = Record(f"p{number}", Incarnation(10, number), 0, State.ALIVE, self.at(number), "1")
-        seeds = [self.at(0), self.at(1)]  # itself among them
+        seeds = [self.at(0), self.at(1)]  # its own address among them
         core = Members(me, ("p0", "p1"), settings, random.Random(number), seeds)
         loop = asyncio.get_running_loop()
-        return ClusterTransport(loop, core, secret, self.at(number), {}, lambda life: None, self.told.append)
+        return ClusterTransport(
+            loop, core, secret, self.at(number), {}, lambda incarnation: None, self.events.append
+        )
 
     async def __aenter__(self) -> Pair:
-        for edge in self.edges:
-            edge.bind()
-            edge.start()
+        for transport in self.transports:
+            transport.bind()
+            transport.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for edge in self.edges:
-            edge.close()
-        await asyncio.gather(*(t for e in self.edges for t in e.tasks), return_exceptions=True)
+        for transport in self.transports:
+            transport.close()
+        await asyncio.gather(
+            *(task for transport in self.transports for task in transport.tasks), return_exceptions=True
+        )
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, holds: Callable[[], bool]) -> None:
         async with asyncio.timeout(WAIT_S):
             while not holds():
                 await asyncio.sleep(0.01)
 
-    def whole(self) -> bool:
-        return all(edge.core.standing(edge.now()) is Standing.WHOLE for edge in self.edges)
+    def all_whole(self) -> bool:
+        return all(
+            transport.core.standing(transport.now()) is Standing.WHOLE for transport in self.transports
+        )
 
-    def kinds(self) -> set[str]:
-        return {tell.details["kind"] for tell in self.told if tell.what == "disagree"}
+    def disagreements(self) -> set[str]:
+        return {event.details["kind"] for event in self.events if event.what == "disagree"}
 
-    def knock(self, data: bytes) -> socket.socket:
+    def send_datagram(self, data: bytes) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.sendto(data, ("127.0.0.1", self.ports[0]))
         return sock
 
 
-def test_two_instances_find_one_another_though_one_seed_is_themselves() -> None:
+def test_two_instances_join_though_each_is_among_its_own_seeds() -> None:
     async def test() -> None:
         async with Pair() as pair:
-            await pair.until(pair.whole)
-            assert [edge.core.present_count() for edge in pair.edges] == [2, 2]
-            assert not pair.kinds()
-            pair.edges[1].leave()
-            await pair.until(lambda: pair.edges[0].core.view.state("p1") is State.LEFT)
+            await pair.wait_until(pair.all_whole)
+            assert [transport.core.present_count() for transport in pair.transports] == [2, 2]
+            assert not pair.disagreements()
+            pair.transports[1].leave()
+            await pair.wait_until(lambda: pair.transports[0].core.view.state("p1") is State.LEFT)
 
     asyncio.run(test())
 
 
-def test_the_book_follows_a_name_that_moves() -> None:
-    """p0's book leads to p1's former place, where the older instance still runs: the newer one, elsewhere, is
-    reached where it says that it is, and is never held dead."""
+def test_the_address_book_follows_a_member_that_moves() -> None:
+    """p0 has a configured address for p1, where an older instance of p1 still runs. The newer instance runs
+    at another address: it must be reached at the address that it advertises, and never be declared dead."""
 
     async def test() -> None:
         async with Pair() as pair:
-            pair.edges[0].address_book = AddressBook({"p1": pair.at(1)})
-            await pair.until(pair.whole)
-            old, new_port = pair.edges[1], free_ports(1)[0]
+            pair.transports[0].address_book = AddressBook({"p1": pair.at(1)})
+            await pair.wait_until(pair.all_whole)
+            old, new_port = pair.transports[1], free_ports(1)[0]
             me = Record("p1", Incarnation(11, 1), 0, State.ALIVE, f"127.0.0.1:{new_port}", "1")
             core = Members(me, ("p0", "p1"), Settings(), random.Random(3), [pair.at(0)])
             new = ClusterTransport(
-                old.loop, core, SECRET, me.address, {"p0": pair.at(0)}, lambda life: None, pair.told.append
+                old.loop,
+                core,
+                SECRET,
+                me.address,
+                {"p0": pair.at(0)},
+                lambda incarnation: None,
+                pair.events.append,
             )
-            pair.edges.append(new)
+            pair.transports.append(new)
             new.bind()
             new.start()
-            known = pair.edges[0].core.view
-            await pair.until(
+            known = pair.transports[0].core.view
+            await pair.wait_until(
                 lambda: (held := known.get("p1")) is not None and held.incarnation == me.incarnation
             )
-            states, until = set(), pair.edges[0].now() + 6_000.0  # past every time to suspect and to bury
-            while pair.edges[0].now() < until:
+            states, end = set(), pair.transports[0].now() + 6_000.0  # longer than any suspicion
+            while pair.transports[0].now() < end:
                 states.add(known.state("p1"))
                 await asyncio.sleep(0.01)
             assert states == {State.ALIVE} and new.core.accepts_requests() and not old.core.accepts_requests()
-            assert new.core.name_claim.incarnation == Incarnation(11, 1), "it never had to refute"
-            assert pair.edges[0].address_book.endpoint_for("p1", me.address) == ("127.0.0.1", new_port)
+            assert new.core.name_claim.incarnation == Incarnation(
+                11, 1
+            ), "the new instance never had to begin another incarnation"
+            assert pair.transports[0].address_book.endpoint_for("p1", me.address) == ("127.0.0.1", new_port)
 
     asyncio.run(test())
 
 
-def test_the_book_goes_first_but_for_who_has_moved_and_is_heard_straight_from_there() -> None:
+def test_a_configured_address_applies_until_the_member_moves_and_sends_directly() -> None:
     book = AddressBook({"a": "127.0.0.1:1", "b": "nowhere:2"})
     assert book.endpoint_for("a", "127.0.0.1:5") == (
         "127.0.0.1",
         1,
-    ), "what it says of itself may not be reachable"
+    ), "the advertised address may not be reachable"
     book.record_source("a", "127.0.0.1:5", ("127.0.0.1", 5))
-    assert book.endpoint_for("a", "127.0.0.1:5") == ("127.0.0.1", 1), "a relay may stand one way alone"
+    assert book.endpoint_for("a", "127.0.0.1:5") == ("127.0.0.1", 1), "a relay may serve only one direction"
     book.record_source("a", "127.0.0.1:6", ("127.0.0.1", 900))
-    assert book.endpoint_for("a", "127.0.0.1:6") == ("127.0.0.1", 1), "it has moved, and is heard by a relay"
+    assert book.endpoint_for("a", "127.0.0.1:6") == (
+        "127.0.0.1",
+        1,
+    ), "it moved, but its messages come through a relay"
     book.record_source("a", "127.0.0.1:6", ("127.0.0.1", 6))
     assert book.endpoint_for("a", "127.0.0.1:6") == ("127.0.0.1", 6)
-    assert book.endpoint_for("a", "127.0.0.1:8") == ("127.0.0.1", 1), "it moves on, and is not heard yet"
+    assert book.endpoint_for("a", "127.0.0.1:8") == (
+        "127.0.0.1",
+        1,
+    ), "it moved again, and has sent nothing from there yet"
     book.record_source("a", "127.0.0.1:5", ("127.0.0.1", 5))
-    assert book.endpoint_for("a", "127.0.0.1:5") == ("127.0.0.1", 1), "it is back where the book knows of it"
+    assert book.endpoint_for("a", "127.0.0.1:5") == ("127.0.0.1", 1), "it is back at its first address"
     book.record_source("c", "127.0.0.1:7", ("127.0.0.1", 7))
-    assert book.endpoint_for("c", "") is None and book.direct.keys() == {"a"}, "of others nothing is kept"
+    assert book.endpoint_for("c", "") is None and book.direct.keys() == {
+        "a"
+    }, "nothing is kept for members without a configured address"
     assert book.endpoint_for("b", "127.0.0.1:3") == ("127.0.0.1", 3) and book.endpoint_for("b", "x") is None
 
 
-def test_another_secret_is_told_and_neither_takes_the_other_for_a_member() -> None:
+def test_instances_with_different_secrets_report_and_ignore_each_other() -> None:
     async def test() -> None:
         async with Pair((SECRET, b"o" * 32)) as pair:
-            await pair.until(
-                lambda: pair.kinds() == {"foreign"}
-                and all(edge.core.accepts_requests() for edge in pair.edges)
+            await pair.wait_until(
+                lambda: pair.disagreements() == {"foreign"}
+                and all(transport.core.accepts_requests() for transport in pair.transports)
             )
-            assert [edge.core.present_count() for edge in pair.edges] == [1, 1]
+            assert [transport.core.present_count() for transport in pair.transports] == [1, 1]
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize("secret", [SECRET, b"o" * 32])
-def test_two_fleets_that_have_one_address_by_mistake_stay_two(secret: bytes) -> None:
-    """The second fleet's seeds and book lead into the first one; each is whole, and the mistake is told."""
+def test_fleets_that_share_an_address_by_mistake_stay_separate(secret: bytes) -> None:
+    """The second fleet's seeds and address book lead into the first fleet: each fleet keeps its own members,
+    and the mistake is reported."""
 
     async def test() -> None:
         async with Pair() as pair:
@@ -164,59 +189,63 @@
                 me = Record(f"q{number}", Incarnation(10, number), 0, State.ALIVE, f"127.0.0.1:{port}", "1")
                 seeds = [pair.at(0), f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}"]
                 core = Members(me, ("q0", "q1", "q2"), Settings(), random.Random(9 + number), seeds)
-                pair.edges.append(
+                pair.transports.append(
                     ClusterTransport(
-                        pair.edges[0].loop,
+                        pair.transports[0].loop,
                         core,
                         secret,
                         me.address,
                         {"q2": pair.at(1)},
-                        lambda life: None,
-                        pair.told.append,
+                        lambda incarnation: None,
+                        pair.events.append,
                     )
                 )
-                pair.edges[-1].bind()
-                pair.edges[-1].start()
-            own, others = pair.edges[:2], pair.edges[2:]
-            two = {Standing.WHOLE: own, Standing.MAJORITY: others}
+                pair.transports[-1].bind()
+                pair.transports[-1].start()
+            own, others = pair.transports[:2], pair.transports[2:]
+            expected = {Standing.WHOLE: own, Standing.MAJORITY: others}
 
             def apart() -> bool:
-                return all(e.core.standing(e.now()) is standing for standing, of in two.items() for e in of)
+                return all(
+                    transport.core.standing(transport.now()) is standing
+                    for standing, of in expected.items()
+                    for transport in of
+                )
 
-            await pair.until(lambda: apart() and bool(pair.kinds() & {"stranger", "foreign"}))
+            await pair.wait_until(lambda: apart() and bool(pair.disagreements() & {"stranger", "foreign"}))
             end = own[0].now() + 1_500.0
             while own[0].now() < end:
                 await asyncio.sleep(0.01)
                 assert apart()
-            assert [sorted(e.core.view.present()) for e in own] == [["p1"], ["p0"]]
-            assert [sorted(e.core.view.present()) for e in others] == [["q1"], ["q0"]]
+            assert [sorted(transport.core.view.present()) for transport in own] == [["p1"], ["p0"]]
+            assert [sorted(transport.core.view.present()) for transport in others] == [["q1"], ["q0"]]
 
     asyncio.run(test())
 
 
-def test_a_wall_clock_that_steps_an_hour_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_step_of_the_wall_clock_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with Pair() as pair:
-            await pair.until(pair.whole)
-            lives = [edge.core.name_claim.incarnation for edge in pair.edges]
+            await pair.wait_until(pair.all_whole)
+            incarnations = [transport.core.name_claim.incarnation for transport in pair.transports]
             wall = time.time
             for step in (3_600.0, -3_600.0, 0.0):
                 monkeypatch.setattr(time, "time", lambda by=step: wall() + by)
-                end = pair.edges[0].now() + 700.0
-                while pair.edges[0].now() < end:
+                end = pair.transports[0].now() + 700.0
+                while pair.transports[0].now() < end:
                     await asyncio.sleep(0.01)
-                    assert pair.whole()
-            assert [edge.core.name_claim.incarnation for edge in pair.edges] == lives
-            assert [edge.core.present_count() for edge in pair.edges] == [2, 2]
+                    assert pair.all_whole()
+            assert [transport.core.name_claim.incarnation for transport in pair.transports] == incarnations
+            assert [transport.core.present_count() for transport in pair.transports] == [2, 2]
 
     asyncio.run(test())
 
 
-def test_what_is_forged_replayed_too_long_or_of_another_version_changes_nothing() -> None:
+def test_forged_replayed_oversized_and_unknown_messages_change_nothing() -> None:
     async def test() -> None:
         async with Pair() as pair:
-            await pair.until(pair.whole)
-            edge = pair.edges[0]
+            await pair.wait_until(pair.all_whole)
+            transport = pair.transports[0]
             dead = Gossip((Update(Record("p1", Incarnation(10, 1), 0, State.DEAD, pair.at(1), "1")),))
             once = encode_message(SECRET, Envelope("p1", Incarnation(10, 1), 1 << 40, "p0", Ping(1)))
             for data in (
@@ -230,95 +259,97 @@
                 once,
                 once,
             ):
-                pair.knock(data).close()
-            await pair.until(lambda: edge.metrics["replayed"] >= 2)
-            assert edge.metrics["foreign"] >= 3 and edge.metrics["misled"] == 1
-            assert {"foreign", "version", "misled"} <= pair.kinds()
-            assert edge.core.view.state("p1") is State.ALIVE and edge.core.record.revision == 0
+                pair.send_datagram(data).close()
+            await pair.wait_until(lambda: transport.metrics["replayed"] >= 2)
+            assert transport.metrics["foreign"] >= 3 and transport.metrics["misled"] == 1
+            assert {"foreign", "version", "misled"} <= pair.disagreements()
+            assert transport.core.view.state("p1") is State.ALIVE and transport.core.record.revision == 0
 
     asyncio.run(test())
 
 
-def test_the_own_words_that_come_back_are_no_second_instance_of_the_name() -> None:
+def test_an_own_message_that_returns_is_no_second_instance_of_the_name() -> None:
     async def test() -> None:
         async with Pair() as pair:
-            await pair.until(pair.whole)
-            edge = pair.edges[0]
-            life = edge.core.name_claim.incarnation
-            pair.knock(encode_message(SECRET, Envelope("p0", life, edge.counter, "p0", Ping(1)))).close()
-            await pair.until(lambda: edge.metrics["own"] > 0)
-            assert edge.core.name_claim.incarnation == life
-            pair.knock(
-                encode_message(SECRET, Envelope("p0", life, edge.counter + 1_000, "p0", Ping(1)))
+            await pair.wait_until(pair.all_whole)
+            transport = pair.transports[0]
+            incarnation = transport.core.name_claim.incarnation
+            pair.send_datagram(
+                encode_message(SECRET, Envelope("p0", incarnation, transport.counter, "p0", Ping(1)))
+            ).close()
+            await pair.wait_until(lambda: transport.metrics["own"] > 0)
+            assert transport.core.name_claim.incarnation == incarnation
+            pair.send_datagram(
+                encode_message(SECRET, Envelope("p0", incarnation, transport.counter + 1_000, "p0", Ping(1)))
             ).close()
-            await pair.until(lambda: edge.core.name_claim.incarnation > life)
-            assert edge.core.accepts_requests()
+            await pair.wait_until(lambda: transport.core.name_claim.incarnation > incarnation)
+            assert transport.core.accepts_requests()
 
     asyncio.run(test())
 
 
-def test_connections_that_say_nothing_or_too_much_hold_up_nobody() -> None:
+def test_silent_connections_and_oversized_frames_block_nobody() -> None:
     async def test() -> None:
         async with Pair() as pair:
-            await pair.until(pair.whole)
-            edge = pair.edges[0]
-            mute = [
+            await pair.wait_until(pair.all_whole)
+            transport = pair.transports[0]
+            silent = [
                 socket.create_connection(("127.0.0.1", pair.ports[0]))
                 for _ in range(INCOMING_EXCHANGES_MAX + 4)
             ]
-            mute[0].sendall(LENGTH_PREFIX.pack(1 << 30))
-            await pair.until(lambda: edge.metrics["exchanges_refused"] >= 3)
-            await pair.until(lambda: edge.incoming_exchanges == 0)
+            silent[0].sendall(LENGTH_PREFIX.pack(1 << 30))
+            await pair.wait_until(lambda: transport.metrics["exchanges_refused"] >= 3)
+            await pair.wait_until(lambda: transport.incoming_exchanges == 0)
             assert (
-                edge.metrics["exchanges_failed"] >= INCOMING_EXCHANGES_MAX - 1
-                and edge.metrics["foreign"] == 1
+                transport.metrics["exchanges_failed"] >= INCOMING_EXCHANGES_MAX - 1
+                and transport.metrics["foreign"] == 1
             )
-            assert pair.whole()
-            for sock in mute:
+            assert pair.all_whole()
+            for sock in silent:
                 sock.close()
 
     asyncio.run(test())
 
 
-def test_an_address_in_use_is_told_before_anything_listens() -> None:
+def test_bind_fails_if_the_address_is_in_use() -> None:
     async def test() -> None:
         pair = Pair()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind(("127.0.0.1", pair.ports[0]))
             with pytest.raises(OSError):
-                pair.edges[0].bind()
-        pair.edges[0].bind()
-        pair.edges[0].close()
+                pair.transports[0].bind()
+        pair.transports[0].bind()
+        pair.transports[0].close()
 
     asyncio.run(test())
 
 
-def test_a_loop_that_hangs_is_not_held_alive_and_blames_nobody_when_it_goes_on() -> None:
-    """The edge is on the loop that serves: what hangs there answers no probes."""
+def test_an_instance_whose_loop_hangs_is_declared_dead_until_it_continues() -> None:
+    """The transport runs on the event loop that serves clients, so a loop that hangs answers no probes."""
 
     async def test() -> None:
         quick = Settings(
             contact_ms=400.0, probe_timeout_ms=40.0, suspicion_ms=100.0, probe_interval_min_ms=20.0
         )
         async with Pair(settings=quick) as pair:
-            await pair.until(pair.whole)
-            lonely = pair.edges[1]
-            assert lonely.udp is not None
-            lonely.loop.remove_reader(lonely.udp)  # as far as p0 can tell, its loop hangs
-            await pair.until(lambda: pair.edges[0].core.view.state("p1") is State.DEAD)
-            lonely.loop.add_reader(lonely.udp, lonely._on_readable)
-            await pair.until(lambda: pair.edges[0].core.view.state("p1") is State.ALIVE)
+            await pair.wait_until(pair.all_whole)
+            stalled = pair.transports[1]
+            assert stalled.udp is not None
+            stalled.loop.remove_reader(stalled.udp)  # for p0 this looks like a loop that hangs
+            await pair.wait_until(lambda: pair.transports[0].core.view.state("p1") is State.DEAD)
+            stalled.loop.add_reader(stalled.udp, stalled._on_readable)
+            await pair.wait_until(lambda: pair.transports[0].core.view.state("p1") is State.ALIVE)
 
     asyncio.run(test())
 
 
-# -- the folder
-def test_each_start_has_a_later_epoch_whatever_the_clock_says(tmp_path: Path) -> None:
+# -- identity folder
+def test_each_start_has_a_greater_epoch_for_any_wall_clock(tmp_path: Path) -> None:
     epochs = [identity.begin_incarnation(tmp_path, "p1", wall).epoch for wall in (5_000, 1_000, 9_000, 0)]
     assert epochs == [5_000, 5_001, 9_000, 9_001]
 
 
-def test_a_copied_folder_is_told_and_another_names_is_turned_down(tmp_path: Path) -> None:
+def test_a_copied_folder_is_reported_and_one_of_another_name_rejected(tmp_path: Path) -> None:
     assert identity.begin_incarnation(tmp_path / "a", "p1", 1).anomaly == "new"
     assert identity.begin_incarnation(tmp_path / "a", "p1", 1).anomaly == ""
     shutil.copytree(tmp_path / "a", tmp_path / "b")
@@ -328,14 +359,14 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"name": "p1"}', "[]"])
-def test_a_damaged_file_is_told_and_written_anew(tmp_path: Path, text: str) -> None:
+def test_a_damaged_identity_file_is_reported_and_rewritten(tmp_path: Path, text: str) -> None:
     (tmp_path / identity.IDENTITY_FILE).write_text(text)
-    taken = identity.begin_incarnation(tmp_path, "p1", 77)
-    assert "damaged" in taken.anomaly and taken.epoch == 77
+    started = identity.begin_incarnation(tmp_path, "p1", 77)
+    assert "damaged" in started.anomaly and started.epoch == 77
     assert identity.begin_incarnation(tmp_path, "p1", 0).epoch == 78
 
 
-def test_a_secret_is_its_owners_alone_and_long_enough(tmp_path: Path) -> None:
+def test_the_secret_must_be_private_and_long_enough(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     with pytest.raises(IdentityError, match="cannot be read"):
         identity.read_secret(path, 32)
@@ -352,7 +383,7 @@
 
 
 # -- histories
-def test_histories_merge_by_time_and_a_torn_last_line_is_left_out(tmp_path: Path) -> None:
+def test_histories_merge_by_time_and_a_truncated_last_line_is_skipped(tmp_path: Path) -> None:
     one, two = History(tmp_path / "one", "p1"), History(tmp_path / "two", "p2")
     for number in range(3):
         one.note("1.a", "first", number=number)
@@ -368,7 +399,7 @@
     two.close()
 
 
-def test_a_history_is_bounded_and_a_disk_that_fails_costs_no_more_than_lines(
+def test_a_history_is_bounded_and_a_failing_disk_only_loses_lines(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("notchflow.cluster.history.FILE_BYTES_MAX", 2_000)
--- a/tests/cluster/test_explored.py
+++ b/tests/cluster/test_explored.py
@@ -1,4 +1,5 @@
-"""The core of members over all schedules of a few faults, and mutants of it that these must find."""
+"""Membership protocol under all schedules of a few faults, and mutants of it that these schedules must
+detect."""
 
 from __future__ import annotations
 
@@ -22,15 +23,15 @@
 FEW = Scope(losses=0, times=(300.0,))
 
 
-def test_every_schedule_in_the_bounds_holds() -> None:
-    """4,575 cases in CI's bounds would take a minute; it plays 806. The long run plays 38,125."""
-    count, broken = explore(Scope() if LONG else SMALL, os.cpu_count() or 1)
+def test_every_schedule_within_the_bounds_holds() -> None:
+    """806 cases in CI (4,575 would take a minute), 38,125 in the long run."""
+    count, violations = explore(Scope() if LONG else SMALL, os.cpu_count() or 1)
     assert count == (38_125 if LONG else 806)
-    assert broken == []
+    assert violations == []
 
 
-def first_broken(scope: Scope) -> list[str]:
-    """What the first case that breaks something breaks; nothing where all hold."""
+def first_violation(scope: Scope) -> list[str]:
+    """Violations of the first case that has any; empty if all hold."""
     for case in scope.cases():
         found = Play(case).run()
         if found:
@@ -41,22 +42,22 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def refutes_nothing(patch: pytest.MonkeyPatch) -> None:
-    before = Members._apply_own_record
+def never_refutes(patch: pytest.MonkeyPatch) -> None:
+    original = Members._apply_own_record
 
-    def heard(self: Members, now: float, record: Record) -> None:
+    def apply_own_record(self: Members, now: float, record: Record) -> None:
         if record.incarnation != self.name_claim.incarnation:
-            before(self, now, record)
+            original(self, now, record)
 
-    patch.setattr(Members, "_apply_own_record", heard)
+    patch.setattr(Members, "_apply_own_record", apply_own_record)
 
 
-def refutes_in_the_same_revision(patch: pytest.MonkeyPatch) -> None:
-    before = Members._set_own_record
-    patch.setattr(Members, "_set_own_record", lambda self, now, revision: before(self, now, 0))
+def refutes_with_the_same_revision(patch: pytest.MonkeyPatch) -> None:
+    original = Members._set_own_record
+    patch.setattr(Members, "_set_own_record", lambda self, now, revision: original(self, now, 0))
 
 
-def a_later_life_covers_nothing(patch: pytest.MonkeyPatch) -> None:
+def newer_incarnation_does_not_override(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         Record,
         "rank",
@@ -71,7 +72,7 @@
     )
 
 
-def leaving_is_not_the_last_word(patch: pytest.MonkeyPatch) -> None:
+def leave_is_not_final(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         Record,
         "rank",
@@ -86,87 +87,87 @@
     )
 
 
-def the_older_instance_keeps_the_name(patch: pytest.MonkeyPatch) -> None:
+def older_instance_keeps_the_name(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(NameClaim, "accepts_requests", property(lambda self: True))
 
 
-def the_older_instance_takes_the_name_back(patch: pytest.MonkeyPatch) -> None:
-    def hear(self: NameClaim, record: Record) -> bool:
+def older_instance_reclaims_the_name(patch: pytest.MonkeyPatch) -> None:
+    def handle_newer_record(self: NameClaim, record: Record) -> bool:
         self.begin_newer_incarnation(record.incarnation)
         return True
 
-    patch.setattr(NameClaim, "handle_newer_record", hear)
+    patch.setattr(NameClaim, "handle_newer_record", handle_newer_record)
 
 
-def a_lost_folder_is_not_made_up_for(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(NameClaim, "begin_newer_incarnation", lambda self, above: None)
+def lost_folder_is_not_compensated(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(NameClaim, "begin_newer_incarnation", lambda self, known: None)
 
 
-def the_dead_and_cut_off_are_not_probed(patch: pytest.MonkeyPatch) -> None:
-    before = Members._send_probe
+def dead_members_are_not_probed(patch: pytest.MonkeyPatch) -> None:
+    original = Members._send_probe
 
-    def probe(self: Members, now: float, target: str) -> None:
-        held = self.view.get(target)
-        if held is not None and held.present:
-            before(self, now, target)
+    def send_probe(self: Members, now: float, target: str) -> None:
+        known = self.view.get(target)
+        if known is not None and known.present:
+            original(self, now, target)
 
-    patch.setattr(Members, "_send_probe", probe)
+    patch.setattr(Members, "_send_probe", send_probe)
     patch.setattr(Members, "_contact_seeds", lambda self, now: setattr(self, "join_at", float("inf")))
 
 
-def suspicion_has_no_end(patch: pytest.MonkeyPatch) -> None:
+def suspicion_never_expires(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Suspicion, "expires_at", lambda self: float("inf"))
 
 
-def a_suspicion_is_a_verdict(patch: pytest.MonkeyPatch) -> None:
+def suspicion_expires_at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Suspicion, "expires_at", lambda self: self.started_at)
 
 
-def who_is_heard_is_held_reached(patch: pytest.MonkeyPatch) -> None:
-    before = Contacts.record_heard
+def any_message_counts_as_ack(patch: pytest.MonkeyPatch) -> None:
+    original = Contacts.record_heard
 
-    def heard(self: Contacts, name: str, now: float) -> None:
-        before(self, name, now)
+    def record_heard(self: Contacts, name: str, now: float) -> None:
+        original(self, name, now)
         self.record_ack(name, now)
 
-    patch.setattr(Contacts, "record_heard", heard)
+    patch.setattr(Contacts, "record_heard", record_heard)
 
 
-def leaving_is_not_told(patch: pytest.MonkeyPatch) -> None:
+def leave_is_not_announced(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(members, "LEAVE_NOTIFIED_MAX", 0)
 
 
 def one_member_is_never_probed(patch: pytest.MonkeyPatch) -> None:
-    before = ProbeOrder.next
+    original = ProbeOrder.next
 
-    def step(self: ProbeOrder, left: frozenset[str]) -> Any:
-        return before(self, left | {"p1"})
+    def next_member(self: ProbeOrder, left: frozenset[str]) -> Any:
+        return original(self, left | {"p1"})
 
-    patch.setattr(ProbeOrder, "next", step)
+    patch.setattr(ProbeOrder, "next", next_member)
 
 
 MUTANTS: tuple[Patch, ...] = (
-    refutes_nothing,
-    refutes_in_the_same_revision,
-    a_later_life_covers_nothing,
-    leaving_is_not_the_last_word,
-    the_older_instance_keeps_the_name,
-    the_older_instance_takes_the_name_back,
-    a_lost_folder_is_not_made_up_for,
-    the_dead_and_cut_off_are_not_probed,
-    suspicion_has_no_end,
-    a_suspicion_is_a_verdict,
-    who_is_heard_is_held_reached,
-    leaving_is_not_told,
+    never_refutes,
+    refutes_with_the_same_revision,
+    newer_incarnation_does_not_override,
+    leave_is_not_final,
+    older_instance_keeps_the_name,
+    older_instance_reclaims_the_name,
+    lost_folder_is_not_compensated,
+    dead_members_are_not_probed,
+    suspicion_never_expires,
+    suspicion_expires_at_once,
+    any_message_counts_as_ack,
+    leave_is_not_announced,
     one_member_is_never_probed,
 )
 
 
-def test_the_few_cases_that_mutants_are_judged_by_hold() -> None:
-    assert first_broken(FEW) == []
+def test_cases_for_mutants_hold_without_a_mutant() -> None:
+    assert first_violation(FEW) == []
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
-def test_a_mutant_is_found(mutant: Patch, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_mutant_violates_an_invariant(mutant: Patch, monkeypatch: pytest.MonkeyPatch) -> None:
     mutant(monkeypatch)
-    assert first_broken(FEW)
+    assert first_violation(FEW)
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -1,4 +1,4 @@
-"""Bytes between instances: what is forged, cut, replayed or of another version changes nothing."""
+"""Message encoding, the anti-replay window and the gossip queue."""
 
 from __future__ import annotations
 
@@ -44,27 +44,27 @@
 )
 
 
-def enveloped(body: Message) -> Envelope:
+def envelope_of(body: Message) -> Envelope:
     return Envelope("p1", Incarnation(5, 6), 9, "p2", body)
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_a_message_comes_as_it_was_sent(body: Message) -> None:
-    assert decode_message(SECRET, encode_message(SECRET, enveloped(body))) == enveloped(body)
+def test_a_message_round_trips(body: Message) -> None:
+    assert decode_message(SECRET, encode_message(SECRET, envelope_of(body))) == envelope_of(body)
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_a_message_cut_at_any_byte_is_foreign(body: Message) -> None:
-    data = encode_message(SECRET, enveloped(body))
+def test_a_truncated_message_is_foreign(body: Message) -> None:
+    data = encode_message(SECRET, envelope_of(body))
     for size in range(len(data)):
         with pytest.raises(ForeignMessageError):
             decode_message(SECRET, data[:size])
 
 
-def test_a_message_changed_at_any_byte_or_of_another_secret_is_turned_down() -> None:
-    data = encode_message(SECRET, enveloped(BODIES[0]))
-    for place in range(len(data)):
-        changed = bytes([*data[:place], data[place] ^ 0x41, *data[place + 1 :]])
+def test_an_altered_message_or_another_secret_is_rejected() -> None:
+    data = encode_message(SECRET, envelope_of(BODIES[0]))
+    for position in range(len(data)):
+        changed = bytes([*data[:position], data[position] ^ 0x41, *data[position + 1 :]])
         with pytest.raises((ForeignMessageError, UnknownVersionError)):
             decode_message(SECRET, changed)
     with pytest.raises(ForeignMessageError):
@@ -72,13 +72,13 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_turned_down_and_nothing_else_happens(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises((ForeignMessageError, UnknownVersionError)):
         decode_message(SECRET, data)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_under_the_secret_are_a_message_or_malformed(data: bytes) -> None:
+def test_arbitrary_authenticated_bytes_decode_or_are_malformed(data: bytes) -> None:
     signed = bytes((VERSION,)) + data
     try:
         decode_message(SECRET, signed + _tag(SECRET, signed))
@@ -86,12 +86,12 @@
         pass
 
 
-def test_a_later_version_is_told_apart_from_foreign_bytes() -> None:
+def test_a_later_version_is_distinguished_from_foreign_bytes() -> None:
     with pytest.raises(UnknownVersionError, match="9"):
-        decode_message(SECRET, b"\x09" + encode_message(SECRET, enveloped(Nack(1)))[1:])
+        decode_message(SECRET, b"\x09" + encode_message(SECRET, envelope_of(Nack(1)))[1:])
 
 
-def test_fields_that_a_later_writer_adds_are_ignored_and_those_left_out_have_defaults() -> None:
+def test_unknown_fields_are_ignored_and_missing_ones_have_defaults() -> None:
     later = msgspec.msgpack.encode(["p1", [5, 6], 9, "p2", [1, 7, 8, 9, [], "new"], "more"])
     data = bytes((VERSION,)) + later
     assert decode_message(SECRET, data + _tag(SECRET, data)).body == Ping(7, 8, 9)
@@ -100,42 +100,42 @@
 
 
 @pytest.mark.parametrize("name", ["", "p" * 64, "a b", "../x"])
-def test_a_name_that_is_none_is_malformed(name: str) -> None:
+def test_an_invalid_name_is_malformed(name: str) -> None:
     data = bytes((VERSION,)) + msgspec.msgpack.encode([name, [5, 6], 9, "p2", [4, 7]])
     with pytest.raises(MalformedMessageError):
         decode_message(SECRET, data + _tag(SECRET, data))
 
 
 @given(st.lists(st.integers(0, 3_000), max_size=200))
-def test_no_number_is_taken_twice(numbers: list[int]) -> None:
+def test_no_counter_is_accepted_twice(counters: list[int]) -> None:
     window = ReplayWindow()
-    taken = [n for n in numbers if window.accept(n)]
-    assert len(taken) == len(set(taken))
-    in_order = sorted(set(numbers))
+    accepted = [n for n in counters if window.accept(n)]
+    assert len(accepted) == len(set(accepted))
+    in_order = sorted(set(counters))
     assert [n for n in in_order if ReplayWindow().accept(n)] == in_order
 
 
-def test_a_number_that_comes_late_is_taken_once_and_one_too_far_back_never() -> None:
+def test_a_late_counter_is_accepted_once_and_one_before_the_window_never() -> None:
     window = ReplayWindow()
     assert window.accept(2_000) and window.accept(1_500) and not window.accept(1_500)
     assert not window.accept(2_000 - ReplayWindow.WIDTH)
 
 
-def test_what_a_datagram_carries_fits_into_it() -> None:
+def test_piggybacked_updates_fit_into_a_datagram() -> None:
     queue = GossipQueue(4)
     for number in range(100):
         name = f"p{number}".ljust(63, "x")
         queue.put(
             Update(Record(name, Incarnation(1 << 62, 1 << 62), 1 << 40, State.DEAD, "a" * 60, "v" * 20), name)
         )
-    news = queue.take(100, Update(RECORD))
-    assert len(news) > 2 and news[0] == Update(RECORD)
-    body = Ping(1 << 62, (1 << 63) - 1, (1 << 63) - 1, news)
+    updates = queue.take(100, Update(RECORD))
+    assert len(updates) > 2 and updates[0] == Update(RECORD)
+    body = Ping(1 << 62, (1 << 63) - 1, (1 << 63) - 1, updates)
     envelope = Envelope("p" * 63, Incarnation(1 << 62, 1 << 62), 1 << 62, "q" * 63, body)
     assert UPDATES_BYTES_MAX < len(encode_message(SECRET, envelope)) <= DATAGRAM_BYTES_MAX
 
 
-def test_newer_news_take_the_place_of_older_and_each_goes_out_a_bounded_number_of_times() -> None:
+def test_a_newer_update_replaces_an_older_one_and_is_sent_a_bounded_number_of_times() -> None:
     queue = GossipQueue(4)
     queue.put(Update(RECORD, "p1"))
     dead = Record(
