--- a/notchflow/cluster/actions.py
+++ b/notchflow/cluster/actions.py
@@ -11,9 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Send a message to a member. `address` is the one that the member advertises; the address book overrides
-    it. `reply_to_source`: send it to the source of the message that it answers, unless the book has the
-    name."""
+    """Send a message to a member.
+
+    `address` is the one that the member advertises; the address book overrides it. With `reply_to_source` the
+    message goes to the source of the one that it answers, unless the address book has the name.
+    """
 
     name: str
     address: str
--- a/notchflow/cluster/addresses.py
+++ b/notchflow/cluster/addresses.py
@@ -34,8 +34,8 @@
     A configured address overrides the advertised one, because only operators know what lies between two
     members (a relay, an address for each side, one way or both). It no longer applies to a member that moved:
     one whose current incarnation advertises another address than the first one seen, and sends from there
-    directly. The configured address is that of a former incarnation then. A member that sends directly but
-    has not moved is still reached by the configured address.
+    directly. The configured address is then that of an earlier incarnation. A member that sends directly but
+    has not moved is still reached at its configured address.
     """
 
     def __init__(self, configured: Mapping[str, str]) -> None:
@@ -48,8 +48,7 @@
         self.direct: dict[str, Endpoint] = {}  # source of members that moved
 
     def record_source(self, name: str, address: str, source: Endpoint) -> None:
-        """Records the source of a message from a member's current incarnation and the address it
-        advertises."""
+        """Records the source of a message of a member's current incarnation, which advertises `address`."""
         moved = name in self.configured and self.first_advertised.setdefault(name, address) != address
         if moved and parse_numeric_address(address) == source:
             self.direct[name] = source
--- a/notchflow/cluster/concurrency_limits.py
+++ b/notchflow/cluster/concurrency_limits.py
@@ -102,9 +102,8 @@
         self, name: str, roster: Iterable[str], terms: SlotTerms, rng: random.Random, started_at: float
     ) -> None:
         self.name, self.roster, self.terms, self.rng = name, tuple(sorted(set(roster))), terms, rng
-        self.opens_at = (
-            started_at + terms.outstanding_ms
-        )  # until then half of each share may be lent by an earlier incarnation
+        # Until then half of each share may still be lent by an earlier incarnation.
+        self.opens_at = started_at + terms.outstanding_ms
         self.accounts: dict[str, Account] = {}
         self.limits: dict[str, int] = {}
         self.pending: dict[int, tuple[str, float]] = {}
@@ -153,8 +152,7 @@
         return max(open_slots - account.own_taken - account.outstanding(now), 0)
 
     def take(self, key: str, now: float) -> bool:
-        """Takes a slot, a borrowed one first since it can be taken only for a short time. False if none is
-        free."""
+        """Takes a slot, a borrowed one first since its time is short. False if none is free."""
         account = self._account(key)
         if account is None:
             return False
@@ -170,7 +168,7 @@
         return True
 
     def release(self, key: str) -> None:
-        """Frees a slot: of the borrowed ones that which ends first, else an own item."""
+        """Frees a slot: of the borrowed ones that which ends first, else an own one."""
         account = self.accounts.get(key)
         if account is None:
             return
@@ -215,7 +213,7 @@
             account.freed[owner] = {number: ends_at for number, ends_at in freed.items() if ends_at > now}
 
     def _slots_needed(self, account: Account, now: float) -> int:
-        """How items more slots to request: some if most are in use or requests were rejected."""
+        """How many more slots to request: some if most are in use or requests were rejected."""
         shed, account.shed = account.shed, 0
         taken = account.taken
         free = self._free(account, now)
--- a/notchflow/cluster/contacts.py
+++ b/notchflow/cluster/contacts.py
@@ -75,8 +75,8 @@
         return Standing.MAJORITY if 2 * (len(reached) + 1) > len(self.by_name) + 1 else Standing.MINORITY
 
     def link(self, name: str, now: float, present: bool) -> Link:
-        """State of the link to a member; `present`: other members hold it alive. Meaningful only once a
-        contact bound has passed since the start."""
+        """State of the link to a member; `present`: it is held alive. Meaningful only once a contact bound
+        has passed since the start."""
         contact = self.by_name[name]
         if now - contact.round_trip_at <= self.bound_ms:
             return Link.WHOLE
--- a/notchflow/cluster/fleet_metrics.py
+++ b/notchflow/cluster/fleet_metrics.py
@@ -77,8 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTotal:
-    """Fleet-wide metrics of a tenant or class: values by name, age of the oldest part (ms), members
-    missing."""
+    """Fleet-wide metrics of a tenant or class: values by name, age of the oldest copy, members missing."""
 
     values: Mapping[str, int]
     age_ms: float
@@ -127,10 +126,10 @@
         for name, incarnation in present.items():
             acknowledged = self.acknowledged.get(name)
             since = acknowledged[1] if acknowledged is not None and acknowledged[0] == incarnation else 0
-            messages += [(name, message) for message in self._since(since)]
+            messages += [(name, message) for message in self._changes_since(since)]
         return messages
 
-    def _since(self, since: int) -> list[MetricsUpdate]:
+    def _changes_since(self, since: int) -> list[MetricsUpdate]:
         """Messages with the changes after a version."""
         if since >= self.version:
             return [MetricsUpdate(since, self.version, ())]
--- a/notchflow/cluster/gossip.py
+++ b/notchflow/cluster/gossip.py
@@ -62,7 +62,7 @@
     def take(
         self, members: int, first: Update | None = None, bytes_left: int = UPDATES_BYTES_MAX
     ) -> tuple[Update, ...]:
-        """Updates for the next datagram, in order; `first` goes before all others and is not counted as
+        """Updates for the next datagram, in order; `first` goes before all others and does not count as
         sent."""
         chosen: list[Update] = []
         if first is not None:
--- a/notchflow/cluster/history.py
+++ b/notchflow/cluster/history.py
@@ -1,5 +1,4 @@
-"""History of an instance as JSON lines with monotonic timestamps, so that histories of one machine can be
-merged."""
+"""History of an instance as JSON lines with monotonic timestamps; those of one machine can be merged."""
 
 from __future__ import annotations
 
--- a/notchflow/cluster/identity.py
+++ b/notchflow/cluster/identity.py
@@ -1,5 +1,4 @@
-"""Persistent identity of an instance: its name and the epoch of its last incarnation, in its own state
-folder."""
+"""Persistent identity of an instance: its name and the epoch of its last incarnation."""
 
 from __future__ import annotations
 
--- a/notchflow/cluster/members.py
+++ b/notchflow/cluster/members.py
@@ -32,9 +32,8 @@
 
 LEAVE_NOTIFIED_MAX: Final = 32  # members that are notified of a leave directly
 SEEDS_PER_ATTEMPT: Final = 3  # seeds that are contacted at a time
-ROSTER_MISMATCH_BACKOFF: Final = (
-    20  # factor on the sync interval: with another roster the views never become equal
-)
+# Factor on the interval between exchanges with a member of another roster: such views never become equal.
+ROSTER_MISMATCH_BACKOFF: Final = 20
 # Share of the probe timeout; below 1 so that a nack arrives before the requester's own probe fails.
 RELAYED_TIMEOUT_SHARE: Final = 0.8
 REPORTS_PER_CONTACT_BOUND: Final = 20  # checks of links and standing
@@ -138,8 +137,8 @@
             return Denial("not on the roster"), self._take_actions(now)
         if sender.name == self.name and sender.incarnation == self.name_claim.incarnation:
             self._handle_duplicate_incarnation(now)
-        older = self._is_stale(sender)
-        if older:
+        stale = self._is_stale(sender)
+        if stale:
             self._report_disagreement(
                 "two-instances", sender.name, value=str(sender.incarnation), older=str(sender.incarnation)
             )
@@ -359,9 +358,8 @@
             self._reply(sender.name, Gossip((Update(known),)))
             return False
         known = self.view.get(sender.name)
-        if (
-            known is None or sender.incarnation > known.incarnation
-        ):  # its full record follows by gossip or exchange
+        if known is None or sender.incarnation > known.incarnation:
+            # Its full record follows by gossip or exchange.
             self._apply_update(now, Update(Record(sender.name, sender.incarnation)))
         return self.name_claim.state is not ClaimState.CONTESTED or isinstance(body, Gossip)
 
--- a/notchflow/cluster/transport.py
+++ b/notchflow/cluster/transport.py
@@ -1,9 +1,8 @@
-"""Transport of the cluster protocols: UDP and TCP sockets and one timer, on the event loop that serves
-clients.
+"""Transport of the cluster protocols: UDP and TCP sockets and one timer.
 
-A separate thread would answer probes while that loop hangs, so that the fleet would hold an instance alive
-that serves nobody. Datagrams per loop turn, concurrent exchanges, and the size and duration of each are
-bounded.
+All run on the event loop that serves clients. A separate thread would answer probes while that loop hangs, so
+that the fleet would hold an instance alive that serves nobody. Datagrams per loop turn, concurrent exchanges,
+and the size and duration of each are bounded.
 """
 
 from __future__ import annotations
@@ -168,11 +167,11 @@
         if due < float("inf"):
             self.timer = self.loop.call_later(max(due - self.now(), 0.0) / 1e3, self._on_timer, due, False)
 
-    def _on_timer(self, due: float, again: bool) -> None:
+    def _on_timer(self, due: float, deferred: bool) -> None:
         if self.closed:
             return
         now = self.now()
-        if not again and now > due + LATE_TIMER_MS:
+        if not deferred and now > due + LATE_TIMER_MS:
             # The loop was busy: read acks that wait in the kernel before timeouts are evaluated.
             self.timer = self.loop.call_later(0.0005, self._on_timer, due, True)
             return
@@ -247,7 +246,7 @@
             envelope = decode_message(self.secret, data)
         except UnknownVersionError as error:
             if self._report_unusable(
-                source, "version", f"speaks version {error}, and this one up to {VERSION}"
+                source, "version", f"uses protocol version {error}; this one supports up to {VERSION}"
             ):
                 self._send(source, "", Denial(f"newest version known: {VERSION}"))
             return
--- a/notchflow/cluster/updates.py
+++ b/notchflow/cluster/updates.py
@@ -81,8 +81,8 @@
         self._probe_suspect(now, update.record.name)
 
     def _probe_suspect(self, now: float, name: str) -> None:
-        """Probes a suspect at once, on a random part of the members, so that the suspicion is settled
-        early."""
+        """Probes a suspect at once, with a probability that lets a few members do so: the suspicion is then
+        settled early."""
         probability = 2 * self.settings.confirmations / max(self.present_count() - 2, 1)
         if (
             self.name_claim.state is not ClaimState.CONTESTED
@@ -111,9 +111,8 @@
         own = self.record
         if record.incarnation == own.incarnation:
             if record.state is State.LEFT or (record.state is State.ALIVE and record.rank() > own.rank()):
-                self._handle_duplicate_incarnation(
-                    now
-                )  # only another process with this incarnation can have sent it
+                # Only another process with this incarnation can have sent it.
+                self._handle_duplicate_incarnation(now)
             elif record.state is not State.ALIVE and record.revision >= own.revision:
                 self._set_own_record(now, record.revision + 1)
                 self.local_health.adjust(1)
