--- a/notchflow/cluster/agreement/__init__.py
+++ b/notchflow/cluster/agreement/__init__.py
@@ -1,1 +1,2 @@
-"""Agreement of a fleet's instances on one log of changes: Raft, as a core without I/O and a thin edge."""
+"""Consensus among the fleet's instances on one log of changes: Raft, as a core without I/O and a thin
+driver."""
--- a/notchflow/cluster/agreement/driver.py
+++ b/notchflow/cluster/agreement/driver.py
@@ -1,7 +1,8 @@
-"""The edge of agreement: the fleet's sockets, one timer, the store's thread, and a state that takes entries.
+"""Connects the consensus core to the fleet's sockets, a timer, the store's thread and the state machine.
 
-Batches are written in order, and what a batch says is sent once it is durable. What is agreed is put in force
-by the state's own thread, one part at a time, and counts as in force once that has come back.
+Batches are written in order, and the messages of a batch are sent once it is durable. Committed entries are
+applied on the state machine's own thread, one batch at a time, and count as applied once that has reported
+back.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import Batch, Role, Snapshot
 from notchflow.cluster.agreement.session import Session, SessionSettings
-from notchflow.cluster.agreement.storage import Base, Keep
+from notchflow.cluster.agreement.storage import LogBase, LogStore
 from notchflow.cluster.agreement.wire import (
     AppendEntries,
     AppendEntriesResponse,
@@ -35,46 +36,60 @@
 from notchflow.store.engine import StoreError
 
 log = logging.getLogger(__name__)
-COMPACT_AT: Final = 512  # entries behind the snapshot; then those that are in force are dropped but for a few
-APPLY_MOST: Final = 128  # entries put in force at a time
+COMPACTION_THRESHOLD: Final = 512  # log entries; then the applied ones are dropped except a few trailing ones
+MAX_APPLY_BATCH: Final = 128  # entries
 
 
-class Rules(Protocol):
-    """The state that the log builds. All but `at` are called on the loop and come back there."""
+class StateMachine(Protocol):
+    """The state that the log builds. The methods are called on the loop, and `done` is called back there."""
 
-    def at(self) -> int:
-        """Up to where entries are in force."""
+    def applied_index(self) -> int:
+        """The index of the last applied entry."""
 
-    def put(self, entries: Sequence[tuple[int, int, bytes | None]], done: Callable[[bool], None]) -> None:
-        """Puts entries in force; whether that went well."""
+    def apply(self, entries: Sequence[tuple[int, int, bytes | None]], done: Callable[[bool], None]) -> None:
+        """Applies entries: index, term, and the command or None. Calls `done` with whether that succeeded."""
 
-    def load(self, snapshot: Snapshot, done: Callable[[bool], None]) -> None: ...
+    def load_snapshot(self, snapshot: Snapshot, done: Callable[[bool], None]) -> None:
+        """Replaces the state by a snapshot. Calls `done` with whether that succeeded."""
+        ...
 
-    def dump(self, done: Callable[[int, int, bytes], None]) -> None:
-        """The whole, with its place in the log and the term there."""
+    def dump_snapshot(self, done: Callable[[int, int, bytes], None]) -> None:
+        """Calls `done` with the applied index, its term and the whole state as bytes."""
 
-    def certain(self, number: int, index: int | None) -> None:
-        """An answer to `Agreement.ask`; None: there was none in time."""
+    def read_completed(self, request_id: int, index: int | None) -> None:
+        """Gives the result of `RaftDriver.read_index`: a commit index, or None on timeout."""
 
-    def led(self, leader: str, term: int) -> None: ...
+    def leader_changed(self, leader: str, term: int) -> None:
+        """Reports the known leader, empty if there is none, and the term."""
+        ...
 
 
-class Agreement:
-    """One instance's part, running."""
+class RaftDriver:
+    """Runs the consensus core of one instance."""
 
     def __init__(
-        self, edge: ClusterTransport, raft: Raft, terms: SessionSettings, keep: Keep, rules: Rules
+        self,
+        transport: ClusterTransport,
+        raft: Raft,
+        settings: SessionSettings,
+        log_store: LogStore,
+        state_machine: StateMachine,
     ) -> None:
-        self.edge, self.raft, self.keep, self.rules = edge, raft, keep, rules
-        self.session = Session(raft, terms, edge.now())
-        self.session.mark_applied(rules.at())
-        self.queue: deque[Batch] = deque()
-        self.writing = self.putting = self.dumping = False
+        self.transport, self.raft, self.log_store, self.state_machine = (
+            transport,
+            raft,
+            log_store,
+            state_machine,
+        )
+        self.session = Session(raft, settings, transport.now())
+        self.session.mark_applied(state_machine.applied_index())
+        self.write_queue: deque[Batch] = deque()
+        self.writing = self.applying = self.dumping = False
         self.timer: asyncio.TimerHandle | None = None
-        self.armed = float("inf")
-        self.told = ("", 0)
+        self.timer_due_at = float("inf")
+        self.reported_leader = ("", 0)
         self.stopped = False
-        edge.handlers |= dict.fromkeys(
+        transport.handlers |= dict.fromkeys(
             (
                 RequestVote,
                 RequestVoteResponse,
@@ -83,46 +98,53 @@
                 InstallSnapshot,
                 InstallSnapshotResponse,
             ),
-            self._said,
+            self._on_raft_message,
+        )
+        transport.handlers |= dict.fromkeys(
+            (ReadIndex, ReadIndexResponse, Propose, ProposeResponse), self._on_session_message
         )
-        edge.handlers |= dict.fromkeys((ReadIndex, ReadIndexResponse, Propose, ProposeResponse), self._asked)
 
     def start(self) -> None:
-        self.raft.start(self.edge.now())
-        self._step()
+        """Begins to take part, as a follower."""
+        self.raft.start(self.transport.now())
+        self._process()
 
     def stop(self) -> None:
-        """Takes no part any more; the others elect another leader where this one led."""
+        """Takes no further part. If this instance led, the others elect another leader."""
         self.stopped = True
-        self.raft.fail()
+        self.raft.halt()
         if self.timer is not None:
             self.timer.cancel()
 
-    # -- what is wanted
-    def holds(self, now: float) -> bool:
-        """Whether this instance may act on the rules that are in force here."""
+    # -- requests
+    def holds_lease(self, now: float) -> bool:
+        """Whether this instance may act on the rules that it has applied."""
         return self.session.lease.is_valid(now)
 
-    def ask(self) -> int:
-        """The answer comes in a later turn of the loop, whenever it is known."""
-        number = self.session.read_index(self.edge.now())
-        self.edge.loop.call_soon(self._step)
-        return number
+    def read_index(self) -> int:
+        """Requests the commit index and returns the request's id. The result comes to
+        `StateMachine.read_completed`, never before this call has returned."""
+        request_id = self.session.read_index(self.transport.now())
+        self.transport.loop.call_soon(self._process)
+        return request_id
 
     def propose(self, data: bytes) -> int:
-        number = self.session.propose(self.edge.now(), data)
-        self.edge.loop.call_soon(self._step)
-        return number
+        """Proposes a command until `finish_proposal` is called with the returned id."""
+        request_id = self.session.propose(self.transport.now(), data)
+        self.transport.loop.call_soon(self._process)
+        return request_id
 
-    def settled(self, number: int) -> None:
-        self.session.finish_proposal(number)
+    def finish_proposal(self, request_id: int) -> None:
+        """Stops proposing a command."""
+        self.session.finish_proposal(request_id)
 
     @property
-    def leads(self) -> bool:
-        return self.raft.role is Role.LEADER and not self.raft.silent
+    def is_leader(self) -> bool:
+        """Whether this instance leads as far as it knows."""
+        return self.raft.role is Role.LEADER and not self.raft.halted
 
     # -- events
-    def _said(self, now: float, sender: Sender, body: Message) -> Message | None:
+    def _on_raft_message(self, now: float, sender: Sender, body: Message) -> Message | None:
         if not self.stopped:
             assert isinstance(
                 body,
@@ -134,158 +156,161 @@
                 | InstallSnapshotResponse,
             )
             self.raft.handle_message(now, sender.name, body)
-            self._step()
+            self._process()
         return None
 
-    def _asked(self, now: float, sender: Sender, body: Message) -> Message | None:
+    def _on_session_message(self, now: float, sender: Sender, body: Message) -> Message | None:
         if not self.stopped:
             assert isinstance(body, ReadIndex | ReadIndexResponse | Propose | ProposeResponse)
             self.session.handle_message(now, sender.name, body)
-            self._step()
+            self._process()
         return None
 
-    def _fire(self, due: float) -> None:
-        self.timer, self.armed = None, float("inf")
+    def _on_timer(self, due_at: float) -> None:
+        self.timer, self.timer_due_at = None, float("inf")
         if not self.stopped:
-            self.session.tick(max(self.edge.now(), due))
-            self._step()
+            self.session.tick(max(self.transport.now(), due_at))
+            self._process()
 
-    def _step(self) -> None:
-        """After any event: writes, sends, puts in force, answers."""
+    def _process(self) -> None:
+        """Carries out what an event has led to: writes, messages, applied entries, answered reads, the
+        timer."""
         if self.stopped:
             return
-        now = self.edge.now()
+        now = self.transport.now()
         self.session.collect_reads(now)
         while True:
             batch = self.raft.take_batch()
             if not batch.needs_write and not batch.messages:
                 break
-            self.queue.append(batch)
-        self._write()
+            self.write_queue.append(batch)
+        self._write_batches()
         for to, body in self.session.outbox:
-            self.edge.send(to, body)
+            self.transport.send(to, body)
         self.session.outbox.clear()
-        self._put()
-        certain, self.session.read_results = self.session.read_results, []
-        for number, index in certain:
-            self.rules.certain(number, index)
-        if self.told != (self.raft.leader, self.raft.term):
-            self.told = self.raft.leader, self.raft.term
-            self.rules.led(*self.told)
-        self._arm(now)
-
-    def _arm(self, now: float) -> None:
-        due = self.session.next_timer_at
-        if due == self.armed or self.stopped:
+        self._apply_committed()
+        read_results, self.session.read_results = self.session.read_results, []
+        for request_id, index in read_results:
+            self.state_machine.read_completed(request_id, index)
+        if self.reported_leader != (self.raft.leader, self.raft.term):
+            self.reported_leader = self.raft.leader, self.raft.term
+            self.state_machine.leader_changed(*self.reported_leader)
+        self._set_timer(now)
+
+    def _set_timer(self, now: float) -> None:
+        due_at = self.session.next_timer_at
+        if due_at == self.timer_due_at or self.stopped:
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.armed, self.timer = due, None
-        if due < float("inf"):
-            self.timer = self.edge.loop.call_later(max(due - now, 0.0) / 1e3, self._fire, due)
+        self.timer_due_at, self.timer = due_at, None
+        if due_at < float("inf"):
+            self.timer = self.transport.loop.call_later(max(due_at - now, 0.0) / 1e3, self._on_timer, due_at)
 
     # -- the store
-    def _write(self) -> None:
-        while self.queue and not self.writing:
-            batch = self.queue[0]
+    def _write_batches(self) -> None:
+        while self.write_queue and not self.writing:
+            batch = self.write_queue[0]
             if not batch.needs_write:
-                self._sent(self.queue.popleft())
+                self._send_messages(self.write_queue.popleft())
                 continue
             self.writing = True
             if batch.snapshot is not None:
-                self.rules.load(batch.snapshot, self._loaded)
+                self.state_machine.load_snapshot(batch.snapshot, self._on_snapshot_loaded)
             else:
                 self._submit(batch)
 
-    def _loaded(self, well: bool) -> None:
-        """A snapshot is in force; then the log begins anew behind it."""
-        if not well:
-            self._failed(StoreError("a snapshot cannot be taken over"))
+    def _on_snapshot_loaded(self, succeeded: bool) -> None:
+        """Stores the new beginning of the log, after the state machine has taken over the snapshot."""
+        if not succeeded:
+            self._halt(StoreError("a snapshot could not be loaded"))
             return
-        self.session.mark_applied(self.rules.at())
-        self._submit(self.queue[0])
+        self.session.mark_applied(self.state_machine.applied_index())
+        self._submit(self.write_queue[0])
 
     def _submit(self, batch: Batch) -> None:
         try:
-            self.keep.write(batch, self._written)
+            self.log_store.write(batch, self._on_written)
         except StoreError as error:
-            self._failed(error)
+            self._halt(error)
 
-    def _written(self, problem: StoreError | None) -> None:
+    def _on_written(self, problem: StoreError | None) -> None:
         if problem is not None:
-            self._failed(problem)
+            self._halt(problem)
             return
         if self.stopped:
             return
-        batch = self.queue.popleft()
+        batch = self.write_queue.popleft()
         self.writing = False
-        self._sent(batch)
+        self._send_messages(batch)
         self.raft.mark_durable(batch.last_index, batch.last_term)
-        self._step()
+        self._process()
 
-    def _failed(self, error: StoreError) -> None:
-        """What cannot be made durable is not said: this instance takes no part until it is started anew."""
+    def _halt(self, error: StoreError) -> None:
+        """After a storage failure nothing more may be promised to others: takes no part until the next
+        start."""
         if not self.stopped:
             log.error(
-                "agreement: this instance takes no part any more, as its log cannot be written: %s; "
-                "mend the disk and start it again",
+                "raft: this instance has stopped taking part, because its log cannot be written: %s; "
+                "repair the disk and start the instance again",
                 error,
             )
-            self.raft.fail()
+            self.raft.halt()
 
-    def _sent(self, batch: Batch) -> None:
-        if not self.raft.silent:
+    def _send_messages(self, batch: Batch) -> None:
+        if not self.raft.halted:
             for to, body in batch.messages:
-                self.edge.send(to, body)
+                self.transport.send(to, body)
 
-    # -- the state
-    def _put(self) -> None:
-        loading = bool(self.queue) and self.queue[0].snapshot is not None
-        if self.putting or self.stopped or self.raft.silent or loading:
+    # -- the state machine
+    def _apply_committed(self) -> None:
+        loading = bool(self.write_queue) and self.write_queue[0].snapshot is not None
+        if self.applying or self.stopped or self.raft.halted or loading:
             return
-        first = self.rules.at() + 1
-        last = min(self.raft.applicable_index, first + APPLY_MOST - 1)
-        if last < first or first <= self.raft.log.base_index:
-            self._snapshot()
+        first_index = self.state_machine.applied_index() + 1
+        last_index = min(self.raft.applicable_index, first_index + MAX_APPLY_BATCH - 1)
+        if last_index < first_index or first_index <= self.raft.log.base_index:
+            self._dump_if_needed()
             return
         entries = []
-        for index in range(first, last + 1):
+        for index in range(first_index, last_index + 1):
             entry = self.raft.log.entry_at(index)
             entries.append((index, entry.term, entry.data if entry.kind is EntryKind.COMMAND else None))
-        self.putting = True
-        self.rules.put(entries, self._in_force)
+        self.applying = True
+        self.state_machine.apply(entries, self._on_applied)
 
-    def _in_force(self, well: bool) -> None:
-        self.putting = False
+    def _on_applied(self, succeeded: bool) -> None:
+        self.applying = False
         if self.stopped:
             return
-        if not well:
-            self._failed(StoreError("entries cannot be put in force"))
+        if not succeeded:
+            self._halt(StoreError("committed entries could not be applied"))
             return
-        at = self.rules.at()
-        self.session.mark_applied(at)
-        if at - self.raft.log.base_index >= COMPACT_AT:
-            self._compact(at)
-        self._step()
-
-    def _compact(self, at: int) -> None:
-        """The state is durable by itself: of the log only what others may lack is kept."""
+        applied_index = self.state_machine.applied_index()
+        self.session.mark_applied(applied_index)
+        if applied_index - self.raft.log.base_index >= COMPACTION_THRESHOLD:
+            self._compact(applied_index)
+        self._process()
+
+    def _compact(self, applied_index: int) -> None:
+        """Drops applied entries. The state machine is durable by itself; only slower members still need
+        some."""
         raft = self.raft
-        raft.compact(at)
-        base = Base(raft.log.base_index, raft.log.base_term, raft.base_roster)
+        raft.compact(applied_index)
+        base = LogBase(raft.log.base_index, raft.log.base_term, raft.base_roster)
         try:
-            self.keep.rebase(base, lambda problem: self._failed(problem) if problem is not None else None)
+            self.log_store.rebase(base, lambda problem: self._halt(problem) if problem is not None else None)
         except StoreError as error:
-            self._failed(error)
+            self._halt(error)
 
-    def _snapshot(self) -> None:
-        """One that is far behind needs the whole."""
+    def _dump_if_needed(self) -> None:
+        """Asks for a snapshot if a member lacks entries that have been compacted."""
         if self.raft.needs_snapshot and not self.dumping:
             self.dumping = True
-            self.rules.dump(self._dumped)
+            self.state_machine.dump_snapshot(self._on_snapshot_dumped)
 
-    def _dumped(self, index: int, term: int, data: bytes) -> None:
+    def _on_snapshot_dumped(self, index: int, term: int, data: bytes) -> None:
         self.dumping = False
         if not self.stopped:
-            self.raft.provide_snapshot(self.edge.now(), Snapshot(index, term, self.raft.roster, data))
-            self._step()
+            self.raft.provide_snapshot(self.transport.now(), Snapshot(index, term, self.raft.roster, data))
+            self._process()
--- a/notchflow/cluster/agreement/leader.py
+++ b/notchflow/cluster/agreement/leader.py
@@ -1,4 +1,4 @@
-"""A leader's part: who has what of the log, what is agreed, what is certain, and snapshots. Pure."""
+"""The leader's part of Raft: replication, commitment, confirmed reads, and sending snapshots. No I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-from notchflow.cluster.agreement.log import Compacted, bytes_of, names_of
+from notchflow.cluster.agreement.log import Compacted, decode_roster, encode_roster
 from notchflow.cluster.agreement.replica import Replica, Role, Snapshot
 from notchflow.cluster.agreement.wire import (
-    ENTRY_MAX,
-    PIECE_BYTES,
+    MAX_ENTRY_BYTES,
+    SNAPSHOT_CHUNK_BYTES,
     AppendEntries,
     AppendEntriesResponse,
     Entry,
@@ -19,240 +19,260 @@
     InstallSnapshotResponse,
 )
 
-AHEAD_MAX: Final = 1_024  # entries sent to one that has not said it has them
+MAX_UNCOMMITTED_ENTRIES: Final = 1_024  # further proposals are rejected
 
 
-class NotLeading(Exception):
-    """Only a leader does that."""
+class NotLeader(Exception):
+    """The operation needs the leader. The argument is the leader's name, empty if it is not known."""
 
 
-class Busy(Exception):
-    """One change of the roster at a time; and more is under way than may be."""
+class ProposalRejected(Exception):
+    """Too many entries are uncommitted, or an earlier change of the roster has not been committed."""
 
 
 @dataclass(slots=True)
 class Peer:
-    """What a leader knows of another."""
+    """What a leader knows of another member."""
 
-    match: int = 0  # up to here it has what the leader has
-    next: int = 1  # from here on it is sent
-    round: int = 0  # the latest that it has answered
+    match_index: int = 0  # highest index known to be replicated there
+    next_index: int = 1  # next index to send
+    acked_round: int = 0  # latest heartbeat round that it has answered
     heard_at: float = -math.inf
-    counts: bool = True
-    offset: int = 0  # of the snapshot that it is being sent
-    piece_at: float = -math.inf
+    voting: bool = True
+    snapshot_offset: int = 0  # of the snapshot that is being sent to it
+    chunk_sent_at: float = -math.inf
 
 
 @dataclass(slots=True)
-class Question:
-    """Somebody wants to be certain: answered once a round begun after it has a majority."""
+class PendingRead:
+    """A ReadIndex request, confirmed once a majority has answered a heartbeat round begun after it."""
 
-    who: str
-    number: int
+    requester: str
+    request_id: int
     round: int
     index: int
 
 
-class Leading(Replica):
-    """What a leader does. `certain` is handed out with `take_certain`."""
+class Leadership(Replica):
+    """The leader's behaviour. `take_confirmed_reads` returns the reads that have been confirmed."""
 
     heartbeat_at = math.inf
-    check_at = math.inf
+    quorum_check_at = math.inf
     round = 0
 
-    def _lead(self, now: float) -> None:
-        """The vote is won. An entry of this term tells what is agreed of the terms before."""
+    def _become_leader(self, now: float) -> None:
+        """Begins a term as its leader. An entry of the own term must be committed before it is known which
+        entries of earlier terms are."""
         self.role, self.leader, self.joined = Role.LEADER, self.name, True
         self.election_at = math.inf
-        self.check_at = now + self.settings.election_ms
-        self.peers = {name: Peer(next=self.log.last_index + 1, heard_at=now) for name in self.others}
-        self.questions: list[Question] = []
-        self.answers: list[tuple[str, int, int]] = []
-        self.blob: Snapshot | None = None
-        self.first_of_term = self._put(Entry(self.term, EntryKind.NOOP))
+        self.quorum_check_at = now + self.settings.election_timeout_ms
+        self.peers = {name: Peer(next_index=self.log.last_index + 1, heard_at=now) for name in self.others}
+        self.pending_reads: list[PendingRead] = []
+        self.confirmed_reads: list[tuple[str, int, int]] = []
+        self.outgoing_snapshot: Snapshot | None = None
+        self.term_start_index = self._append(Entry(self.term, EntryKind.NOOP))
         self._broadcast(now)
-        self._agree()
+        self._advance_commit()
 
-    # -- changes
+    # -- proposals
     def propose(self, now: float, data: bytes) -> int:
-        """Puts a change into the log; its index. NotLeading, Busy."""
-        if self.role is not Role.LEADER or self.silent:
-            raise NotLeading(self.leader)
-        if len(data) > ENTRY_MAX:
-            raise ValueError(f"{len(data)} bytes; a change has at most {ENTRY_MAX}")
-        if self.log.last_index - self.commit_index >= AHEAD_MAX:
-            raise Busy(f"{self.log.last_index - self.commit_index} changes wait for a majority")
-        index = self._put(Entry(self.term, EntryKind.COMMAND, data))
+        """Appends a command to the log and returns its index. Raises NotLeader, ProposalRejected or
+        ValueError."""
+        if self.role is not Role.LEADER or self.halted:
+            raise NotLeader(self.leader)
+        if len(data) > MAX_ENTRY_BYTES:
+            raise ValueError(f"a command of {len(data)} bytes is longer than {MAX_ENTRY_BYTES}")
+        if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
+            raise ProposalRejected(f"{self.log.last_index - self.commit_index} entries are not committed yet")
+        index = self._append(Entry(self.term, EntryKind.COMMAND, data))
         self._broadcast(now)
-        self._agree()
+        self._advance_commit()
         return index
 
     def change_roster(self, now: float, roster: tuple[str, ...]) -> int:
-        """One name more or less from now on. NotLeading, Busy; ValueError."""
-        if self.role is not Role.LEADER or self.silent:
-            raise NotLeading(self.leader)
+        """Adds or removes one member, effective at once. Raises NotLeader, ProposalRejected or ValueError."""
+        if self.role is not Role.LEADER or self.halted:
+            raise NotLeader(self.leader)
         if len(set(roster) ^ set(self.roster)) != 1 or not roster:
             raise ValueError("the roster changes by one name at a time")
-        if self.commit_index < self.first_of_term or self.roster != self._agreed_roster():
-            raise Busy("a change of the roster is under way")
-        index = self._put(Entry(self.term, EntryKind.ROSTER, bytes_of(roster)))
-        self._peers_changed(now)
+        if self.commit_index < self.term_start_index or self.roster != self._committed_roster():
+            raise ProposalRejected("an earlier change of the roster is not committed yet")
+        index = self._append(Entry(self.term, EntryKind.ROSTER, encode_roster(roster)))
+        self._update_peers(now)
         self._broadcast(now)
-        self._agree()
+        self._advance_commit()
         return index
 
-    def _agreed_roster(self) -> tuple[str, ...]:
+    def _committed_roster(self) -> tuple[str, ...]:
         for index in range(self.commit_index, self.log.base_index, -1):
             entry = self.log.entry_at(index)
             if entry.kind is EntryKind.ROSTER:
-                return names_of(entry.data)
+                return decode_roster(entry.data)
         return self.base_roster
 
-    def _peers_changed(self, now: float) -> None:
+    def _update_peers(self, now: float) -> None:
         for name in self.others:
-            self.peers.setdefault(name, Peer(next=self.log.last_index + 1, heard_at=now))
+            self.peers.setdefault(name, Peer(next_index=self.log.last_index + 1, heard_at=now))
         for name in self.peers.keys() - set(self.others):
             del self.peers[name]
 
-    # -- what others have
+    # -- replication
     def _broadcast(self, now: float) -> None:
+        """Begins a heartbeat round: sends each member what it lacks, or an empty AppendEntries."""
         self.round += 1
-        self.heartbeat_at = now + self.settings.beat_ms
+        self.heartbeat_at = now + self.settings.heartbeat_ms
         for name in self.others:
             self._replicate(now, name)
-        self._confirm()
+        self._confirm_reads()
 
     def _replicate(self, now: float, name: str) -> None:
-        """The next entries for one; where these are compacted away, a piece of the snapshot."""
+        """Sends a member its next entries, or a chunk of the snapshot if these have been compacted."""
         peer = self.peers[name]
-        if peer.next <= self.log.base_index:
-            self._send_piece(now, name, peer)
+        if peer.next_index <= self.log.base_index:
+            self._send_snapshot_chunk(now, name, peer)
             return
-        before = peer.next - 1
+        prev_log_index = peer.next_index - 1
         try:
-            entries = self.log.behind(before)
+            entries = self.log.entries_after(prev_log_index)
         except Compacted:  # pragma: no cover - the base is before it
             return
-        term = self.log.term_at(before)
+        term = self.log.term_at(prev_log_index)
         assert term is not None
-        self._send(name, AppendEntries(self.term, before, term, self.commit_index, self.round, entries))
-        peer.next = before + 1 + len(entries)
+        self._send(
+            name, AppendEntries(self.term, prev_log_index, term, self.commit_index, self.round, entries)
+        )
+        peer.next_index = prev_log_index + 1 + len(entries)
 
-    def _appended(self, now: float, name: str, body: AppendEntriesResponse) -> None:
+    def _handle_append_response(self, now: float, name: str, body: AppendEntriesResponse) -> None:
         peer = self.peers.get(name)
         if peer is None:
             return
-        peer.heard_at, peer.counts = now, body.counts
-        peer.round = max(peer.round, body.round)
-        if body.ok:
-            peer.match = max(peer.match, body.index)
-            peer.next = max(peer.next, peer.match + 1)
-            before = self.commit_index
-            self._agree()
-            if self.commit_index > before:
-                self._broadcast(now)  # all are told at once of what is agreed
-            elif peer.next <= self.log.last_index:
+        peer.heard_at, peer.voting = now, body.voting
+        peer.acked_round = max(peer.acked_round, body.round)
+        if body.success:
+            peer.match_index = max(peer.match_index, body.index)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            previous = self.commit_index
+            self._advance_commit()
+            if self.commit_index > previous:
+                self._broadcast(now)  # sends the new commit index without waiting for the next heartbeat
+            elif peer.next_index <= self.log.last_index:
                 self._replicate(now, name)
-        elif body.index < peer.next:
-            if body.index <= peer.match:  # it has lost what it had
-                peer.match = 0
-            peer.next = max(min(body.index, peer.next - 1), 1)
+        elif body.index < peer.next_index:
+            if body.index <= peer.match_index:  # the member has lost entries that it had acknowledged
+                peer.match_index = 0
+            peer.next_index = max(min(body.index, peer.next_index - 1), 1)
             self._replicate(now, name)
-        self._confirm()
+        self._confirm_reads()
 
-    def _agree(self) -> None:
-        """What a majority has is agreed if it is of this term, and all before it too (the paper's 5.4.2)."""
-        have = sorted((self._counted_of(name, self.durable, "match") for name in self.roster), reverse=True)
-        index = have[self.majority - 1]
+    def _advance_commit(self) -> None:
+        """Commits what a majority has, if it is of the current term, and with it all before (the paper's
+        5.4.2)."""
+        replicated = sorted(
+            (self._peer_value(name, self.durable_index, "match_index") for name in self.roster), reverse=True
+        )
+        index = replicated[self.majority - 1]
         if index > self.commit_index and self.log.term_at(index) == self.term:
             self.commit_index = index
 
-    def _counted_of(self, name: str, own: int, what: str) -> int:
-        """A figure of one of the roster; 0 of one that has lost its memory."""
+    def _peer_value(self, name: str, own: int, attribute: str) -> int:
+        """A value of a member as it counts towards a majority: 0 for one that lost its state and is catching
+        up."""
         if name == self.name:
             return own
         peer = self.peers[name]
-        figure: int = getattr(peer, what)
-        return figure if peer.counts else 0
-
-    # -- certainty
-    def ask(self, now: float, who: str, number: int) -> None:
-        """Somebody wants to know up to where is agreed as of now. NotLeading."""
-        if self.role is not Role.LEADER or self.silent:
-            raise NotLeading(self.leader)
-        self.questions.append(Question(who, number, self.round + 1, self.commit_index))
+        value: int = getattr(peer, attribute)
+        return value if peer.voting else 0
+
+    # -- confirmed reads
+    def read_index(self, now: float, requester: str, request_id: int) -> None:
+        """Begins to confirm a commit index for a reader (the thesis' ReadIndex). Raises NotLeader."""
+        if self.role is not Role.LEADER or self.halted:
+            raise NotLeader(self.leader)
+        self.pending_reads.append(PendingRead(requester, request_id, self.round + 1, self.commit_index))
         self._broadcast(now)
 
-    def _confirm(self) -> None:
-        """A round that a majority has answered shows that nobody else led when it began. Nothing is certain
-        before an entry of this term is agreed."""
-        if self.role is not Role.LEADER or self.commit_index < self.first_of_term:
+    def _confirm_reads(self) -> None:
+        """A heartbeat round that a majority has answered shows that no other leader had been elected when it
+        began. Nothing is confirmed before an entry of the current term is committed."""
+        if self.role is not Role.LEADER or self.commit_index < self.term_start_index:
             return
-        rounds = sorted((self._counted_of(name, self.round, "round") for name in self.roster), reverse=True)
-        shown = rounds[self.majority - 1]
-        for question in self.questions:
-            if question.round <= shown:
-                self.answers.append((question.who, question.number, max(question.index, self.first_of_term)))
-        self.questions = [q for q in self.questions if q.round > shown]
-
-    def take_certain(self) -> list[tuple[str, int, int]]:
-        """Who is told of what number that all agreed before lies at or before what index."""
+        rounds = sorted(
+            (self._peer_value(name, self.round, "acked_round") for name in self.roster), reverse=True
+        )
+        confirmed = rounds[self.majority - 1]
+        for read in self.pending_reads:
+            if read.round <= confirmed:
+                self.confirmed_reads.append(
+                    (read.requester, read.request_id, max(read.index, self.term_start_index))
+                )
+        self.pending_reads = [read for read in self.pending_reads if read.round > confirmed]
+
+    def take_confirmed_reads(self) -> list[tuple[str, int, int]]:
+        """Requester, request id and index of each read that has been confirmed since the last call."""
         if self.role is not Role.LEADER:
             return []
-        answers, self.answers = self.answers, []
-        return answers
+        confirmed, self.confirmed_reads = self.confirmed_reads, []
+        return confirmed
 
     # -- snapshots
     @property
     def needs_snapshot(self) -> bool:
-        """Whether somebody needs one, and what there is lies before the log's beginning."""
+        """Whether a member needs a snapshot and the current one, if any, ends before the log begins."""
         return (
             self.role is Role.LEADER
-            and any(p.next <= self.log.base_index for p in self.peers.values())
-            and (self.blob is None or self.blob.index < self.log.base_index)
+            and any(p.next_index <= self.log.base_index for p in self.peers.values())
+            and (self.outgoing_snapshot is None or self.outgoing_snapshot.index < self.log.base_index)
         )
 
-    def provide_snapshot(self, now: float, blob: Snapshot) -> None:
-        """The state at an index that is agreed."""
-        if self.role is not Role.LEADER or blob.index < self.log.base_index:
+    def provide_snapshot(self, now: float, snapshot: Snapshot) -> None:
+        """Begins to send a snapshot of the committed state to the members that need one."""
+        if self.role is not Role.LEADER or snapshot.index < self.log.base_index:
             return
-        self.blob = blob
+        self.outgoing_snapshot = snapshot
         for name, peer in self.peers.items():
-            if peer.next <= self.log.base_index:
-                peer.offset, peer.piece_at = 0, -math.inf
-                self._send_piece(now, name, peer)
-
-    def _send_piece(self, now: float, name: str, peer: Peer) -> None:
-        blob = self.blob
-        if (
-            blob is None or blob.index < self.log.base_index
-        ):  # a word all the same, so that it holds no election
+            if peer.next_index <= self.log.base_index:
+                peer.snapshot_offset, peer.chunk_sent_at = 0, -math.inf
+                self._send_snapshot_chunk(now, name, peer)
+
+    def _send_snapshot_chunk(self, now: float, name: str, peer: Peer) -> None:
+        snapshot = self.outgoing_snapshot
+        if snapshot is None or snapshot.index < self.log.base_index:
+            # No snapshot yet: a heartbeat keeps the member from starting an election.
             term = self.log.term_at(self.log.base_index)
             assert term is not None
             self._send(name, AppendEntries(self.term, self.log.base_index, term, 0, self.round))
             return
-        if now < peer.piece_at + self.settings.beat_ms:
+        if now < peer.chunk_sent_at + self.settings.heartbeat_ms:
             return
-        peer.piece_at = now
-        data = blob.data[peer.offset : peer.offset + PIECE_BYTES]
+        peer.chunk_sent_at = now
+        data = snapshot.data[peer.snapshot_offset : peer.snapshot_offset + SNAPSHOT_CHUNK_BYTES]
         self._send(
             name,
-            InstallSnapshot(self.term, blob.index, blob.term, blob.roster, len(blob.data), peer.offset, data),
+            InstallSnapshot(
+                self.term,
+                snapshot.index,
+                snapshot.term,
+                snapshot.roster,
+                len(snapshot.data),
+                peer.snapshot_offset,
+                data,
+            ),
         )
 
-    def _pieced(self, now: float, name: str, body: InstallSnapshotResponse) -> None:
-        peer, blob = self.peers.get(name), self.blob
+    def _handle_snapshot_response(self, now: float, name: str, body: InstallSnapshotResponse) -> None:
+        peer, snapshot = self.peers.get(name), self.outgoing_snapshot
         if peer is None:
             return
-        peer.heard_at, peer.counts = now, body.counts
-        if blob is None or body.index != blob.index:
+        peer.heard_at, peer.voting = now, body.voting
+        if snapshot is None or body.last_included_index != snapshot.index:
             return
-        if body.offset >= len(blob.data):
-            peer.match = max(peer.match, blob.index)
-            peer.next = max(peer.next, blob.index + 1)
-            peer.offset = 0
-            self._agree()
+        if body.next_offset >= len(snapshot.data):
+            peer.match_index = max(peer.match_index, snapshot.index)
+            peer.next_index = max(peer.next_index, snapshot.index + 1)
+            peer.snapshot_offset = 0
+            self._advance_commit()
             self._replicate(now, name)
-        elif body.offset != peer.offset:
-            peer.offset, peer.piece_at = body.offset, -math.inf
-            self._send_piece(now, name, peer)
+        elif body.next_offset != peer.snapshot_offset:
+            peer.snapshot_offset, peer.chunk_sent_at = body.next_offset, -math.inf
+            self._send_snapshot_chunk(now, name, peer)
--- a/notchflow/cluster/agreement/log.py
+++ b/notchflow/cluster/agreement/log.py
@@ -1,4 +1,4 @@
-"""The log as an instance has it: what a snapshot stands for, and the entries behind that. Pure."""
+"""The replicated log as one instance holds it: the entries that follow a snapshot. No I/O."""
 
 from __future__ import annotations
 
@@ -6,92 +6,98 @@
 
 import msgspec
 
-from notchflow.cluster.agreement.wire import APPEND_BYTES, ENTRIES_MAX, Entry, EntryKind
+from notchflow.cluster.agreement.wire import MAX_APPEND_BYTES, MAX_APPEND_ENTRIES, Entry, EntryKind
 
 
 class Compacted(Exception):
-    """Entries that are asked for are in the snapshot alone."""
+    """The requested entries have been compacted; only the snapshot still covers them."""
 
 
 class Log:
-    """Entries by index, from 1; those up to `base` are compacted away."""
+    """Log entries by index, counted from 1. Entries up to `base_index` have been compacted into a
+    snapshot."""
 
     __slots__ = ("base_index", "base_term", "entries")
 
-    def __init__(self, base: int = 0, base_term: int = 0, entries: Sequence[Entry] = ()) -> None:
-        self.base_index, self.base_term = base, base_term
+    def __init__(self, base_index: int = 0, base_term: int = 0, entries: Sequence[Entry] = ()) -> None:
+        self.base_index, self.base_term = base_index, base_term
         self.entries = list(entries)
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry, or of the last compacted one if no entry follows it."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the entry at `last_index`."""
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where there is none, or no longer."""
+        """The term of the entry at an index; None if there is no such entry or it has been compacted."""
         if index == self.base_index:
             return self.base_term
-        place = index - self.base_index - 1
-        return self.entries[place].term if 0 <= place < len(self.entries) else None
+        offset = index - self.base_index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
     def entry_at(self, index: int) -> Entry:
-        """Compacted; IndexError behind the end."""
+        """The entry at an index. Raises Compacted, or IndexError past the end of the log."""
         if index <= self.base_index:
-            raise Compacted(f"{index}: the log begins behind {self.base_index}")
+            raise Compacted(f"entry {index} has been compacted; the log starts after {self.base_index}")
         return self.entries[index - self.base_index - 1]
 
-    def behind(self, index: int) -> tuple[Entry, ...]:
-        """What comes behind an index, as far as one message takes it. Compacted."""
+    def entries_after(self, index: int) -> tuple[Entry, ...]:
+        """The entries after an index, limited to what fits into one AppendEntries. Raises Compacted."""
         if index < self.base_index:
-            raise Compacted(f"{index}: the log begins behind {self.base_index}")
+            raise Compacted(f"entry {index + 1} has been compacted; the log starts after {self.base_index}")
         found: list[Entry] = []
         size = 0
-        for entry in self.entries[index - self.base_index : index - self.base_index + ENTRIES_MAX]:
+        for entry in self.entries[index - self.base_index : index - self.base_index + MAX_APPEND_ENTRIES]:
             size += len(entry.data)
-            if found and size > APPEND_BYTES:
+            if found and size > MAX_APPEND_BYTES:
                 break
             found.append(entry)
         return tuple(found)
 
     def append(self, entry: Entry) -> int:
+        """Appends an entry and returns its index."""
         self.entries.append(entry)
         return self.last_index
 
-    def cut(self, index: int) -> None:
-        """Drops an entry and all behind it."""
+    def truncate_from(self, index: int) -> None:
+        """Deletes the entry at an index and all that follow it."""
         del self.entries[index - self.base_index - 1 :]
 
     def compact(self, index: int) -> None:
-        """Forgets entries up to an index, which a snapshot stands for."""
+        """Deletes the entries up to an index, which a snapshot covers."""
         if index <= self.base_index:
             return
         term = self.term_at(index)
-        assert term is not None, f"{index} of {self.last_index}"
+        assert term is not None, f"cannot compact up to {index}: the last index is {self.last_index}"
         del self.entries[: index - self.base_index]
         self.base_index, self.base_term = index, term
 
-    def first_of(self, index: int) -> int:
-        """The first index, behind the base, of the term that stands at an index: where to look for what two
-        logs have alike."""
+    def first_index_of_term(self, index: int) -> int:
+        """The first index after the base that has the same term as the entry at `index`. A follower whose log
+        conflicts returns it, so that the leader skips the whole term (the paper's section 5.3)."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
-    def latest_roster(self, before: tuple[str, ...]) -> tuple[str, ...]:
-        """The newest roster in the log, or the one that the snapshot has."""
+    def latest_roster(self, base_roster: tuple[str, ...]) -> tuple[str, ...]:
+        """The newest roster in the log, or `base_roster` (that of the snapshot) if no entry has one."""
         for entry in reversed(self.entries):
             if entry.kind is EntryKind.ROSTER:
-                return names_of(entry.data)
-        return before
+                return decode_roster(entry.data)
+        return base_roster
 
 
-def bytes_of(roster: Sequence[str]) -> bytes:
+def encode_roster(roster: Sequence[str]) -> bytes:
+    """The data of a ROSTER entry: the names, sorted and without duplicates, as msgpack."""
     return msgspec.msgpack.encode(tuple(sorted(set(roster))))
 
 
-def names_of(data: bytes) -> tuple[str, ...]:
+def decode_roster(data: bytes) -> tuple[str, ...]:
+    """The names in the data of a ROSTER entry."""
     return msgspec.msgpack.decode(data, type=tuple[str, ...])
--- a/notchflow/cluster/agreement/replica.py
+++ b/notchflow/cluster/agreement/replica.py
@@ -1,7 +1,8 @@
-"""What every instance has of the agreed log, whatever its part; and what is to be written and sent. Pure.
+"""State that each instance keeps of the replicated log in any role, and what it has to store and send. No
+I/O.
 
-What a message says is durable when it is sent: whoever drives this takes a `Batch` after each event, writes
-it, and sends its messages once that and all before it is written (the Ready of etcd's raft).
+A message may only state what is durable. The driver therefore takes a `Batch` after each event, writes it,
+and sends its messages once this batch and all earlier ones are durable (etcd's raft calls this Ready).
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     RequestVoteResponse,
 )
 
-Said: TypeAlias = (
+RaftMessage: TypeAlias = (
     RequestVote
     | RequestVoteResponse
     | AppendEntries
@@ -36,41 +37,44 @@
 
 
 class Role(Enum):
+    """The role of an instance in its term. The values are reported by the administration."""
+
     FOLLOWER = "follower"
-    ASKING = "asking"  # whether it would be voted for
+    PRE_CANDIDATE = "asking"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class RaftSettings:
-    """Milliseconds."""
+    """Timing and log retention, the same on all instances. Times are milliseconds."""
 
-    beat_ms: float = 100.0  # between two words of a leader
-    election_ms: float = 500.0  # without a word of it, and up to twice that by draw
-    stall_ms: float = 100.0  # a timer that is later than this was slept through
-    trailing_entries: int = 200  # entries kept behind a snapshot, for those that are a little behind
-    ticket_ms: float = 1_000.0  # a vote is given for so long after it was said that it would be
-    clock_drift: float = 1 / 200  # by which two clocks may differ
+    heartbeat_ms: float = 100.0
+    election_timeout_ms: float = 500.0  # the shortest; a random part of up to the same length is added
+    stall_ms: float = 100.0  # a timer that fires later than this means that the process was suspended
+    trailing_entries: int = 200  # kept behind a snapshot, so that a slightly slower follower needs none
+    ticket_ms: float = 1_000.0  # how long after a granted pre-vote the vote itself is granted
+    clock_drift: float = 1 / 200  # largest difference in rate between two clocks
 
     @property
     def probation_ms(self) -> float:
-        """After a start without a memory: till then votes that it has forgotten may still be of use."""
+        """How long after a start without stored state votes that this instance has forgotten may still
+        count."""
         return self.ticket_ms * (1 + self.clock_drift) ** 2 + self.ticket_ms / 10
 
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What must never be forgotten besides the log."""
+    """State that must survive a restart besides the log."""
 
     term: int = 0
-    vote: str = ""
-    joined: bool = False  # it counts: it was there when the log began, or has learned all of it since
+    voted_for: str = ""
+    joined: bool = False  # votes and counts in majorities: took part from the first entry, or caught up since
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What stands for the log up to an index."""
+    """The state that replaces the log up to `index`, and the term and roster there."""
 
     index: int
     term: int
@@ -80,114 +84,120 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What is to be made durable, all together, and then to be sent. `entries` take the place of all from
-    `first` on; of a snapshot the log begins anew behind it."""
+    """Changes to store atomically, and messages to send afterwards. `entries` replace all stored entries from
+    `first_index` on; with a snapshot, the stored log starts again after it."""
 
     hard_state: HardState | None
     first_index: int
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None
-    messages: tuple[tuple[str, Said], ...]
+    messages: tuple[tuple[str, RaftMessage], ...]
     last_index: int
     last_term: int
 
     @property
     def needs_write(self) -> bool:
+        """Whether anything has to be stored before the messages are sent."""
         return self.hard_state is not None or bool(self.entries) or self.snapshot is not None
 
 
 class Replica:
-    """One instance's log, term and vote."""
+    """The log, term and vote of one instance."""
 
     def __init__(
         self,
-        me: str,
+        name: str,
         roster: Sequence[str],
         settings: RaftSettings,
         rng: Random,
         now: float,
-        hard: HardState | None = None,
+        hard_state: HardState | None = None,
         log: Log | None = None,
         weight: int = 0,
     ) -> None:
-        """`roster`: of the snapshot, or the one to begin with. `weight`: how much is known here where the log
-        is empty: the first leader is one that knows most."""
-        self.name, self.settings, self.rng, self.weight = me, settings, rng, weight
-        hard = hard or HardState()
-        self.term, self.voted_for, self.joined = hard.term, hard.vote, hard.joined
-        self.began = now
+        """`roster` is that of the snapshot, or the first one of a new fleet. `weight` is the size of the
+        local state before the log has begun: the first leader is an instance with the largest."""
+        self.name, self.settings, self.rng, self.weight = name, settings, rng, weight
+        hard_state = hard_state or HardState()
+        self.term, self.voted_for, self.joined = hard_state.term, hard_state.voted_for, hard_state.joined
+        self.started_at = now
         self.log = log or Log()
         self.base_roster = tuple(sorted(set(roster)))
         self.roster = self.log.latest_roster(self.base_roster)
         self.role = Role.FOLLOWER
         self.leader = ""
         self.commit_index = self.log.base_index
-        self.durable = self.log.last_index
+        self.durable_index = self.log.last_index
         self.now = now
         self.election_at = math.inf
-        self.heard_at = -math.inf  # when the leader was heard
-        self.saved_hard = hard
-        self.changed_from = math.inf  # the first index that is not handed out for writing
-        self.installed: Snapshot | None = None  # to be handed out
-        self.sends: list[tuple[str, Said]] = []
-        self.silent = False  # its disk has failed: it takes no part any more
+        self.heard_at = -math.inf  # time of the last message from the leader
+        self.saved_hard_state = hard_state
+        self.unsaved_from = math.inf  # first index that is in no batch yet
+        self.unsaved_snapshot: Snapshot | None = None
+        self.outbox: list[tuple[str, RaftMessage]] = []
+        self.halted = False  # after a storage failure: takes no further part
 
-    # -- what goes out
-    def _send(self, to: str, body: Said) -> None:
-        self.sends.append((to, body))
+    # -- output
+    def _send(self, to: str, body: RaftMessage) -> None:
+        self.outbox.append((to, body))
 
     def take_batch(self) -> Batch:
-        """What there is to write and to send since the last time."""
-        hard = HardState(self.term, self.voted_for, self.joined)
-        first = int(min(self.changed_from, self.log.last_index + 1))
+        """What there is to store and to send since the last call."""
+        hard_state = HardState(self.term, self.voted_for, self.joined)
+        first_index = int(min(self.unsaved_from, self.log.last_index + 1))
         batch = Batch(
-            hard if hard != self.saved_hard else None,
-            first,
-            tuple(self.log.entries[first - self.log.base_index - 1 :]),
-            self.installed,
-            tuple(self.sends),
+            hard_state if hard_state != self.saved_hard_state else None,
+            first_index,
+            tuple(self.log.entries[first_index - self.log.base_index - 1 :]),
+            self.unsaved_snapshot,
+            tuple(self.outbox),
             self.log.last_index,
             self.log.last_term,
         )
-        self.saved_hard, self.changed_from, self.installed = hard, math.inf, None
-        self.sends.clear()
+        self.saved_hard_state, self.unsaved_from, self.unsaved_snapshot = hard_state, math.inf, None
+        self.outbox.clear()
         return batch
 
     # -- the log
     @property
     def others(self) -> list[str]:
+        """The names on the roster except this instance's own."""
         return [name for name in self.roster if name != self.name]
 
     @property
     def majority(self) -> int:
+        """The number of instances that make a majority of the roster."""
         return len(self.roster) // 2 + 1
 
-    def _put(self, entry: Entry) -> int:
+    def _append(self, entry: Entry) -> int:
         index = self.log.append(entry)
-        self.changed_from = min(self.changed_from, index)
+        self.unsaved_from = min(self.unsaved_from, index)
         if entry.kind is EntryKind.ROSTER:
             self.roster = self.log.latest_roster(self.base_roster)
         return index
 
-    def _cut(self, index: int) -> None:
-        """Drops what no majority has agreed on."""
+    def _truncate_from(self, index: int) -> None:
+        """Deletes uncommitted entries that conflict with the leader's."""
         if index <= self.commit_index:
-            raise AssertionError(f"{self.name} would drop {index}, which is agreed up to {self.commit_index}")
-        self.log.cut(index)
-        self.changed_from = min(self.changed_from, index)
-        self.durable = min(self.durable, index - 1)
+            raise AssertionError(
+                f"{self.name} would delete entry {index}, but entries up to {self.commit_index} are committed"
+            )
+        self.log.truncate_from(index)
+        self.unsaved_from = min(self.unsaved_from, index)
+        self.durable_index = min(self.durable_index, index - 1)
         self.roster = self.log.latest_roster(self.base_roster)
 
-    def _election_later(self, now: float) -> None:
-        self.election_at = now + self.settings.election_ms * (1.0 + self.rng.random())
+    def _reset_election_timer(self, now: float) -> None:
+        self.election_at = now + self.settings.election_timeout_ms * (1.0 + self.rng.random())
 
     @property
     def applicable_index(self) -> int:
-        """Up to where entries may be put in force here."""
-        return min(self.commit_index, self.durable)
+        """The last index that may be applied here: committed, and durable in the local log."""
+        return min(self.commit_index, self.durable_index)
 
     def compact(self, index: int) -> None:
-        """A snapshot of the state at an index is durable: entries well before it are forgotten."""
+        """Deletes log entries that a durable snapshot of the state at `index` covers, except trailing
+        ones."""
         index = min(index, self.applicable_index) - self.settings.trailing_entries
         if index > self.log.base_index:
             roster = Log(
--- a/notchflow/cluster/agreement/wire.py
+++ b/notchflow/cluster/agreement/wire.py
@@ -1,7 +1,9 @@
-"""What instances say to one another to agree on a log. Pure.
+"""Messages that the instances of a fleet exchange to replicate a log. No I/O.
 
-Names after Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, Stanford 2014): RequestVote,
-AppendEntries and InstallSnapshot with their responses; InstallSnapshot is sent in pieces.
+The names follow Raft (Ongaro and Ousterhout, USENIX ATC 2014; Ongaro's thesis, Stanford 2014): RequestVote
+with a pre-vote, AppendEntries, InstallSnapshot in chunks, and ReadIndex. A follower forwards proposals to the
+leader with Propose. The structs are encoded as arrays: the order, the types and the tags of their fields are
+the format.
 """
 
 from __future__ import annotations
@@ -13,16 +15,17 @@
 
 from notchflow.cluster.model import Name, Number
 
-ENTRY_MAX: Final = 128 << 10  # bytes of one change
-APPEND_BYTES: Final = 256 << 10  # of entries in one message; one entry goes in any case
-PIECE_BYTES: Final = 256 << 10  # of a snapshot in one message
-ENTRIES_MAX: Final = 256
-SNAPSHOT_MAX: Final = 256 << 20  # bytes of a whole snapshot
-ROSTER_MAX: Final = 1_000
+MAX_ENTRY_BYTES: Final = 128 << 10
+MAX_APPEND_BYTES: Final = 256 << 10  # entries of one AppendEntries; a single larger entry is still sent
+SNAPSHOT_CHUNK_BYTES: Final = 256 << 10
+MAX_APPEND_ENTRIES: Final = 256
+MAX_SNAPSHOT_BYTES: Final = 256 << 20
+MAX_ROSTER_NAMES: Final = 1_000
 
 
 class EntryKind(IntEnum):
-    """What an entry is: nothing (a leader's first), a change of the rules, or the roster from here on."""
+    """What an entry holds: nothing (the first entry of a leader's term), a command for the state machine, or
+    the roster that applies from this entry on."""
 
     NOOP = 0
     COMMAND = 1
@@ -30,99 +33,106 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the log; its index is where it stands."""
+    """One log entry. Its index is not stored in it but follows from its position in the log."""
 
     term: Number
     kind: EntryKind = EntryKind.COMMAND
-    data: Annotated[bytes, msgspec.Meta(max_length=ENTRY_MAX)] = b""
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_ENTRY_BYTES)] = b""
 
 
-Roster = Annotated[tuple[Name, ...], msgspec.Meta(max_length=ROSTER_MAX)]
+Roster = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_ROSTER_NAMES)]
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Give me your vote for this term; or, `pre`, would you?"""
+    """Asks for a vote in `term`. With `pre_vote` it asks whether the vote would be granted, and no state
+    changes."""
 
     term: Number
-    last: Number  # the candidate's last index, and its term
-    last_term: Number
-    weight: Number = 0  # how much an instance knows whose log is empty
-    pre: bool = False
-    ticket: Number = 0  # from the voter's own answer to `pre`, so that an old question gets no vote
+    last_log_index: Number
+    last_log_term: Number
+    weight: Number = 0  # size of the candidate's state; decides between candidates whose logs are empty
+    pre_vote: bool = False
+    ticket: Number = 0  # from the voter's answer to the pre-vote, so that a delayed request gets no vote
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag=21):
+    """Answers a RequestVote. A granted pre-vote carries the ticket that the request for the vote must
+    return."""
+
     term: Number
-    granted: bool
-    pre: bool = False
+    vote_granted: bool
+    pre_vote: bool = False
     ticket: Number = 0
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """Entries behind one that you have; and, without any, I lead. `round` is said back."""
+    """Entries that follow `prev_log_index`; without entries, a heartbeat. The response repeats `round`, by
+    which the leader tells which heartbeat round has reached a majority."""
 
     term: Number
-    before: Number
-    before_term: Number
-    commit: Number
+    prev_log_index: Number
+    prev_log_term: Number
+    leader_commit: Number
     round: Number
-    entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=ENTRIES_MAX)] = ()
+    entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=MAX_APPEND_ENTRIES)] = ()
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """`ok`: all up to `index` is as the leader has it, and durable. Else: try again from `index`."""
+    """With `success`, the log matches the leader's up to `index` and is durable up to there. Otherwise
+    `index` is the next index that the leader should send from."""
 
     term: Number
-    ok: bool
+    success: bool
     index: Number
     round: Number
-    counts: bool = True  # not one that has lost its disk and learns still
+    voting: bool = True  # False while an instance that lost its disk catches up
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """A part of a snapshot that stands for the log up to an index."""
+    """One chunk of a snapshot that replaces the log up to `last_included_index`."""
 
     term: Number
-    index: Number
-    index_term: Number
+    last_included_index: Number
+    last_included_term: Number
     roster: Roster
-    size: Annotated[int, msgspec.Meta(ge=0, le=SNAPSHOT_MAX)]
-    offset: Annotated[int, msgspec.Meta(ge=0, le=SNAPSHOT_MAX)]
-    data: Annotated[bytes, msgspec.Meta(max_length=PIECE_BYTES)]
+    total_size: Annotated[int, msgspec.Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    offset: Annotated[int, msgspec.Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    data: Annotated[bytes, msgspec.Meta(max_length=SNAPSHOT_CHUNK_BYTES)]
 
 
 class InstallSnapshotResponse(msgspec.Struct, frozen=True, array_like=True, tag=25):
-    """Go on from this offset of that snapshot."""
+    """Asks for the chunk at `next_offset`; the snapshot is complete when that is its total size."""
 
     term: Number
-    index: Number
-    offset: Annotated[int, msgspec.Meta(ge=0, le=SNAPSHOT_MAX)]
-    counts: bool = True
+    last_included_index: Number
+    next_offset: Annotated[int, msgspec.Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    voting: bool = True
 
 
 class ReadIndex(msgspec.Struct, frozen=True, array_like=True, tag=26):
-    """Up to where is agreed, for certain, as of now? Answered by ReadIndexResponse once a
-    majority has said that the one that is asked still leads."""
+    """Asks the leader for its commit index. Answered by a ReadIndexResponse once a majority has confirmed
+    that the instance still leads."""
 
-    number: Number
+    request_id: Number
 
 
 class ReadIndexResponse(msgspec.Struct, frozen=True, array_like=True, tag=27):
-    """All that was agreed when you asked lies at or before this index."""
+    """Everything that was committed when the request was made lies at or before `index`."""
 
-    number: Number
+    request_id: Number
     index: Number
 
 
 class Propose(msgspec.Struct, frozen=True, array_like=True, tag=28):
-    """Put this change into the log."""
+    """Asks the leader to append a command to the log."""
 
-    number: Number
-    data: Annotated[bytes, msgspec.Meta(max_length=ENTRY_MAX)]
+    request_id: Number
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_ENTRY_BYTES)]
 
 
 class ProposeResponse(msgspec.Struct, frozen=True, array_like=True, tag=29):
-    """Where it stands now, which says nothing of whether it stays; 0: the one that is asked does not lead."""
+    """The index at which the command was appended; it is not committed yet and may still be replaced. 0 if
+    the receiver does not lead or accepts no command at present."""
 
-    number: Number
+    request_id: Number
     index: Number
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -21,11 +21,11 @@
 from typing import Any, Final, TypeVar
 
 from notchflow.admin.operations import ApiProblem, Change, Done
-from notchflow.cluster.agreement.driver import Agreement
+from notchflow.cluster.agreement.driver import RaftDriver
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import HardState, RaftSettings, Role, Snapshot
 from notchflow.cluster.agreement.session import SessionSettings
-from notchflow.cluster.agreement.storage import Keep, load
+from notchflow.cluster.agreement.storage import LogStore, load_state
 from notchflow.cluster.transport import ClusterTransport
 from notchflow.net.exchange import LocalReply
 from notchflow.state.database import Database
@@ -76,8 +76,12 @@
         engine = Engine(RealFiles(folder / FOLDER), store_clock(), Options(SEGMENT))
         self.committer = Committer(engine, self.loop.call_soon_threadsafe)
         self.committer.start()
-        found = load(engine, tuple(sorted(roster)), self.state.applied, self.state.term)
-        hard = found.hard if trusted else HardState(found.hard.term, found.hard.vote, False)
+        found = load_state(engine, tuple(sorted(roster)), self.state.applied, self.state.term)
+        hard = (
+            found.hard_state
+            if trusted
+            else HardState(found.hard_state.term, found.hard_state.voted_for, False)
+        )
         raft = Raft(
             name,
             found.base.roster,
@@ -90,7 +94,7 @@
         )
         self.place = self.state.applied  # up to here entries are in force
         self.settings = SessionSettings()
-        self.agreement = Agreement(edge, raft, self.settings, Keep(self.committer, found), self)
+        self.agreement = RaftDriver(edge, raft, self.settings, LogStore(self.committer, found), self)
         self.asked: dict[int, concurrent.futures.Future[int]] = {}
         self.due: list[tuple[int, concurrent.futures.Future[int]]] = []  # certain from an index on
         self.waiting: dict[str, Waiting] = {}
@@ -122,16 +126,16 @@
     # -- the door
     def rejection(self) -> LocalReply | None:
         """What a request is told while this instance may not act on its rules."""
-        if self.agreement.holds(self.edge.now()) and self.state.sealed:
+        if self.agreement.holds_lease(self.edge.now()) and self.state.sealed:
             return None
         self.figures["refused"] += 1
         return self.doubted
 
     def may_act(self) -> bool:
-        return self.state.sealed and self.agreement.holds(self.edge.now())
+        return self.state.sealed and self.agreement.holds_lease(self.edge.now())
 
     # -- the log asks (on the loop)
-    def at(self) -> int:
+    def applied_index(self) -> int:
         return self.place
 
     def _on_thread(self, call: Callable[[], T], done: Callable[[T | None], None]) -> None:
@@ -151,7 +155,7 @@
         except RuntimeError:  # the service ends
             pass
 
-    def put(self, entries: Sequence[tuple[int, int, bytes | None]], done: Callable[[bool], None]) -> None:
+    def apply(self, entries: Sequence[tuple[int, int, bytes | None]], done: Callable[[bool], None]) -> None:
         last = entries[-1][0]
         self._on_thread(partial(self._apply, entries), partial(self._put, last, done))
 
@@ -187,7 +191,7 @@
         if applied.displaced:
             log.warning("rules: what was here before was another state; it lies in service.db.before")
 
-    def load(self, snapshot: Snapshot, done: Callable[[bool], None]) -> None:
+    def load_snapshot(self, snapshot: Snapshot, done: Callable[[bool], None]) -> None:
         def run() -> tuple[Applied, list[Change]]:
             return self.state.load(snapshot.data), self._whole()
 
@@ -201,7 +205,7 @@
 
         self._on_thread(run, ended)
 
-    def dump(self, done: Callable[[int, int, bytes], None]) -> None:
+    def dump_snapshot(self, done: Callable[[int, int, bytes], None]) -> None:
         def run() -> tuple[int, int, bytes]:
             return self.state.applied, self.state.term, self.state.dump()
 
@@ -211,7 +215,7 @@
 
         self._on_thread(run, ended)
 
-    def led(self, leader: str, term: int) -> None:
+    def leader_changed(self, leader: str, term: int) -> None:
         self.note("led", leader=leader, term=term)
         if leader:
             log.info("rules: %s leads", leader)
@@ -222,7 +226,7 @@
     # -- whose state begins the log
     def _seed(self) -> None:
         """The first leader hands its state to all, part by part."""
-        if not self.agreement.leads or self.state.sealed or self.seeding or self.closed:
+        if not self.agreement.is_leader or self.state.sealed or self.seeding or self.closed:
             return
         self.seeding = True
         asyncio.ensure_future(self._hand_over(), loop=self.loop)
@@ -245,7 +249,7 @@
                 self.loop.call_later(1.0, self._seed)
 
     # -- certainty and proposals (on the loop)
-    def certain(self, number: int, index: int | None) -> None:
+    def read_completed(self, number: int, index: int | None) -> None:
         future = self.asked.pop(number, None)
         if future is None or future.done():
             return
@@ -271,7 +275,7 @@
                 )
             )
             return
-        self.asked[self.agreement.ask()] = future
+        self.asked[self.agreement.read_index()] = future
 
     def _propose(self, command: Command) -> concurrent.futures.Future[bool]:
         future: concurrent.futures.Future[bool] = concurrent.futures.Future()
@@ -287,7 +291,7 @@
 
     def _over(self, command: str, held: bool) -> None:
         waiting = self.waiting.pop(command)
-        self.agreement.settled(waiting.number)
+        self.agreement.finish_proposal(waiting.number)
         if not waiting.done.done():
             waiting.done.set_result(held)
 
@@ -302,7 +306,7 @@
     def give_up(self, command: str) -> None:
         waiting = self.waiting.pop(command, None)
         if waiting is not None:
-            self.agreement.settled(waiting.number)
+            self.agreement.finish_proposal(waiting.number)
 
     # -- the administration (on its own thread's loop)
     async def newest(self) -> None:
@@ -361,7 +365,7 @@
     # -- what is shown
     def status(self) -> dict[str, Any]:
         raft, now = self.agreement.raft, self.edge.now()
-        left = self.agreement.session.lease.until - now
+        left = self.agreement.session.lease.expires_at - now
         return {
             "version": self.state.version,
             "digest": self.state.digest,
@@ -369,12 +373,12 @@
             "agreed": raft.commit_index,
             "term": raft.term,
             "leader": raft.leader or None,
-            "role": "silent" if raft.silent else raft.role.value,
+            "role": "silent" if raft.halted else raft.role.value,
             "joined": raft.joined,
             "sealed": self.state.sealed,
             "acts": self.may_act(),
             "lease_ms": round(max(left, 0.0), 1),
-            "peers": {name: peer.match for name, peer in raft.peers.items()}
+            "peers": {name: peer.match_index for name, peer in raft.peers.items()}
             if raft.role is Role.LEADER
             else {},
         }
@@ -384,7 +388,7 @@
         found = [
             f"cluster_rules_version {self.state.version}",
             f"cluster_rules_acts {int(self.may_act())}",
-            f"cluster_rules_leads {int(self.agreement.leads)}",
+            f"cluster_rules_leads {int(self.agreement.is_leader)}",
             f"cluster_rules_term {raft.term}",
         ]
         return found + [f"cluster_rules_{name} {count}" for name, count in self.figures.items()]
--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -11,7 +11,7 @@
 import pytest
 
 from notchflow.cluster.agreement import leader, replica
-from notchflow.cluster.agreement.leader import Leading
+from notchflow.cluster.agreement.leader import Leadership
 from notchflow.cluster.agreement.log import Log
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import HardState, Replica
@@ -136,11 +136,11 @@
     voter.start(0.0)
     voter.handle_message(2_000.0, "p1", RequestVote(2, 0, 0, 0, True))
     ((_, told),) = voter.take_batch().messages
-    assert told.granted and told.pre  # type: ignore[union-attr]
+    assert told.vote_granted and told.pre_vote  # type: ignore[union-attr]
     late = RequestVote(2, 0, 0, 0, False, told.ticket)  # type: ignore[union-attr]
     voter.handle_message(2_000.0 + replica.RaftSettings().ticket_ms + 1, "p1", late)
     ((_, told),) = voter.take_batch().messages
-    assert not told.granted and voter.voted_for == ""  # type: ignore[union-attr]
+    assert not told.vote_granted and voter.voted_for == ""  # type: ignore[union-attr]
 
 
 def test_the_roster_changes_by_one_name_at_a_time() -> None:
@@ -151,7 +151,7 @@
     with pytest.raises(ValueError):
         leader_node.raft.change_roster(leader_node.clock(), others[:1])
     leader_node.raft.change_roster(leader_node.clock(), (leader_node.name, others[0]))
-    with pytest.raises(leader.Busy):
+    with pytest.raises(leader.ProposalRejected):
         leader_node.raft.change_roster(leader_node.clock(), (leader_node.name, *others))
     leader_node.step()
     world.run(500.0)
@@ -223,8 +223,8 @@
         self.voted_for = ""
         before(self, now, sender, body)
 
-    before = Raft._voted_for
-    patch.setattr(Raft, "_voted_for", forgets)
+    before = Raft._handle_request_vote
+    patch.setattr(Raft, "_handle_request_vote", forgets)
 
 
 def forgets_its_vote(patch: pytest.MonkeyPatch) -> None:
@@ -258,26 +258,26 @@
 
 
 def elects_an_older_log(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Raft, "_as_new", lambda self, body: True)
+    patch.setattr(Raft, "_is_up_to_date", lambda self, body: True)
 
 
 def agrees_on_former_terms(patch: pytest.MonkeyPatch) -> None:
     """What a majority has of an earlier term is not agreed by that (figure 8 of the paper): seen here as
     certainty before an entry of the own term is agreed."""
 
-    def confirm(self: Leading) -> None:
-        self.first_of_term, kept = 0, self.first_of_term
+    def confirm(self: Leadership) -> None:
+        self.term_start_index, kept = 0, self.term_start_index
         before(self)
-        self.first_of_term = kept
+        self.term_start_index = kept
 
-    before = Leading._confirm
-    patch.setattr(Leading, "_confirm", confirm)
+    before = Leadership._confirm_reads
+    patch.setattr(Leadership, "_confirm_reads", confirm)
 
 
 def counts_what_is_not_durable(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         Replica,
-        "durable",
+        "durable_index",
         property(lambda self: self.log.last_index, lambda self, value: None),
         raising=False,
     )
@@ -285,53 +285,55 @@
 
 def takes_entries_over_a_gap(patch: pytest.MonkeyPatch) -> None:
     def take(self: Raft, sender: str, body: AppendEntries) -> None:
-        before = min(body.before, self.log.last_index)
+        before = min(body.prev_log_index, self.log.last_index)
         term = self.log.term_at(before)
         taken(
-            self, sender, AppendEntries(body.term, before, term or 0, body.commit, body.round, body.entries)
+            self,
+            sender,
+            AppendEntries(body.term, before, term or 0, body.leader_commit, body.round, body.entries),
         )
 
-    taken = Raft._take
-    patch.setattr(Raft, "_take", take)
+    taken = Raft._handle_append_entries
+    patch.setattr(Raft, "_handle_append_entries", take)
 
 
 def keeps_what_differs(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Raft, "_cut", lambda self, index: None)
+    patch.setattr(Raft, "_truncate_from", lambda self, index: None)
 
 
 def follower_agrees_beyond_what_it_was_sent(patch: pytest.MonkeyPatch) -> None:
     def take(self: Raft, sender: str, body: AppendEntries) -> None:
         taken(self, sender, body)
-        self.commit_index = max(self.commit_index, min(body.commit, self.log.last_index))
+        self.commit_index = max(self.commit_index, min(body.leader_commit, self.log.last_index))
 
-    taken = Raft._take
-    patch.setattr(Raft, "_take", take)
+    taken = Raft._handle_append_entries
+    patch.setattr(Raft, "_handle_append_entries", take)
 
 
 def is_certain_without_a_round(patch: pytest.MonkeyPatch) -> None:
-    def ask(self: Leading, now: float, who: str, number: int) -> None:
+    def ask(self: Leadership, now: float, who: str, number: int) -> None:
         asked(self, now, who, number)
-        for question in self.questions:
+        for question in self.pending_reads:
             question.round = 0
-        self._confirm()
+        self._confirm_reads()
 
-    asked = Leading.ask
-    patch.setattr(Leading, "ask", ask)
+    asked = Leadership.read_index
+    patch.setattr(Leadership, "read_index", ask)
 
 
 def is_certain_of_the_round_under_way(patch: pytest.MonkeyPatch) -> None:
-    def ask(self: Leading, now: float, who: str, number: int) -> None:
+    def ask(self: Leadership, now: float, who: str, number: int) -> None:
         asked(self, now, who, number)
-        if self.questions:
-            self.questions[-1].round = self.round - 40
-        self._confirm()
+        if self.pending_reads:
+            self.pending_reads[-1].round = self.round - 40
+        self._confirm_reads()
 
-    asked = Leading.ask
-    patch.setattr(Leading, "ask", ask)
+    asked = Leadership.read_index
+    patch.setattr(Leadership, "read_index", ask)
 
 
 def one_without_memory_votes(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Raft, "_may_elect", lambda self, now, body: self._as_new(body))
+    patch.setattr(Raft, "_may_vote_for", lambda self, now, body: self._is_up_to_date(body))
 
 
 def one_without_memory_counts(patch: pytest.MonkeyPatch) -> None:
@@ -339,50 +341,52 @@
 
 
 def a_minority_begins_a_log(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Raft, "_counted", lambda self, now: _counted(self, now))
+    patch.setattr(Raft, "_tally_votes", lambda self, now: _counted(self, now))
 
 
 def _counted(self: Raft, now: float) -> None:
     if len(self.votes) >= self.majority:
-        if self.role is replica.Role.ASKING:
-            self._stand(now)
+        if self.role is replica.Role.PRE_CANDIDATE:
+            self._start_election(now)
         elif self.role is replica.Role.CANDIDATE:
-            self._lead(now)
+            self._become_leader(now)
 
 
 def lease_counts_from_the_answer(patch: pytest.MonkeyPatch) -> None:
     def granted(self: Lease, asked_at: float, index: int, applied: int) -> None:
         before(self, asked_at + 1_500.0, index, applied)
 
-    before = Lease.granted
-    patch.setattr(Lease, "granted", granted)
+    before = Lease.extend
+    patch.setattr(Lease, "extend", granted)
 
 
 def lease_begins_before_all_is_in_force(patch: pytest.MonkeyPatch) -> None:
-    before = Lease.granted
-    patch.setattr(Lease, "granted", lambda self, asked, index, applied: before(self, asked, 0, applied))
+    before = Lease.extend
+    patch.setattr(Lease, "extend", lambda self, asked, index, applied: before(self, asked, 0, applied))
 
 
 def lease_never_ends(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Lease, "is_valid", lambda self, now: self.until > 0)
+    patch.setattr(Lease, "is_valid", lambda self, now: self.expires_at > 0)
 
 
 def agrees_whatever_the_term(patch: pytest.MonkeyPatch) -> None:
     """What a majority has of an earlier term may yet be replaced (figure 8 of the paper)."""
 
-    def agree(self: Leading) -> None:
-        have = sorted((self._counted_of(name, self.durable, "match") for name in self.roster), reverse=True)
+    def agree(self: Leadership) -> None:
+        have = sorted(
+            (self._peer_value(name, self.durable_index, "match_index") for name in self.roster), reverse=True
+        )
         self.commit_index = max(self.commit_index, have[self.majority - 1])
 
-    patch.setattr(Leading, "_agree", agree)
+    patch.setattr(Leadership, "_advance_commit", agree)
 
 
 def drops_a_snapshots_entries(patch: pytest.MonkeyPatch) -> None:
     def install(self: Raft, snapshot: Any) -> None:
         before(self, replica.Snapshot(snapshot.index + 1, snapshot.term, snapshot.roster, snapshot.data))
 
-    before = Raft._install
-    patch.setattr(Raft, "_install", install)
+    before = Raft._install_snapshot
+    patch.setattr(Raft, "_install_snapshot", install)
 
 
 # Each with a drawn trouble that shows it.
