--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -1,9 +1,9 @@
-"""Rules that the fleet agrees on: the state behind the log, administration at any instance, leave to act.
+"""Rules that the fleet replicates: the state machine behind the log, changes at any instance, and the lease.
 
-A call is worked out on the state that is in force here, once this is certain to be the newest, and taken back
-again; what it would write goes into the log with the version that it builds on, and holds only where nothing
-has changed since. Where somebody else was first it is worked out once more. So a call is one wherever it is
-made, and however often its proposal comes.
+A change is computed in a trial transaction on the state applied here, after a confirmed read has shown that
+state to be current, and rolled back. Its writes are proposed with the version that they were computed on, and
+take effect only if that is still the version; otherwise the change is computed again. A change therefore
+takes effect once, at whichever instance it is made and however often its proposal is appended.
 """
 
 from __future__ import annotations
@@ -39,234 +39,253 @@
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
-FOLDER: Final = "agreement"  # below the folder of the member
-TRIES: Final = 8  # of a call, where others are first
-PATIENCE_S: Final = 4.0  # then it is not known whether a change holds
-SEGMENT: Final = 4 << 20
+FOLDER: Final = "agreement"  # in the member's folder
+MAX_CHANGE_ATTEMPTS: Final = 8  # at one change, if changes made elsewhere keep coming first
+COMMIT_TIMEOUT_S: Final = 4.0  # after which the outcome of a change is unknown
+SEGMENT_BYTES: Final = 4 << 20
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A call that has proposed a change."""
+class PendingCommand:
+    """A proposed command whose outcome is awaited."""
 
     base: int
-    number: int
+    request_id: int
     done: concurrent.futures.Future[bool]
 
 
 class FleetRules:
-    """The state that the log builds, at one instance."""
+    """One instance's copy of the replicated rules, and its access to the log that changes them."""
 
     def __init__(
         self,
         name: str,
         roster: Sequence[str],
-        edge: ClusterTransport,
+        transport: ClusterTransport,
         folder: Path,
         db: Database,
         trusted: bool,
         note: Callable[..., None],
     ) -> None:
-        """`trusted`: whether the folder is this instance's own, as it left it. StoreError, ManifestError,
-        Locked, OSError."""
-        self.loop, self.edge, self.db, self.note = edge.loop, edge, db, note
+        """`trusted`: whether the folder is this instance's own and as it left it; if not, the instance does
+        not vote until it has caught up. Raises StoreError, ManifestError, Locked or OSError."""
+        self.loop, self.transport, self.db, self.note = transport.loop, transport, db, note
         self.state = Replicated(db)
         self.thread = ThreadPoolExecutor(1, "state")
         self.on_applied: Callable[[Applied, list[Change]], None] = lambda applied, changes: None
-        engine = Engine(RealFiles(folder / FOLDER), store_clock(), Options(SEGMENT))
+        engine = Engine(RealFiles(folder / FOLDER), store_clock(), Options(SEGMENT_BYTES))
         self.committer = Committer(engine, self.loop.call_soon_threadsafe)
         self.committer.start()
-        found = load_state(engine, tuple(sorted(roster)), self.state.applied, self.state.term)
-        hard = (
-            found.hard_state
+        stored = load_state(engine, tuple(sorted(roster)), self.state.applied, self.state.term)
+        hard_state = (
+            stored.hard_state
             if trusted
-            else HardState(found.hard_state.term, found.hard_state.voted_for, False)
+            else HardState(stored.hard_state.term, stored.hard_state.voted_for, False)
         )
         raft = Raft(
             name,
-            found.base.roster,
+            stored.base.roster,
             RaftSettings(),
             Random(secrets.randbits(64)),
-            edge.now(),
-            hard,
-            found.log,
+            transport.now(),
+            hard_state,
+            stored.log,
             self.state.weight() if not self.state.sealed else 0,
         )
-        self.place = self.state.applied  # up to here entries are in force
+        self.last_applied = self.state.applied  # as the loop knows it; the state's thread may be ahead
         self.settings = SessionSettings()
-        self.agreement = RaftDriver(edge, raft, self.settings, LogStore(self.committer, found), self)
-        self.asked: dict[int, concurrent.futures.Future[int]] = {}
-        self.due: list[tuple[int, concurrent.futures.Future[int]]] = []  # certain from an index on
-        self.waiting: dict[str, Waiting] = {}
-        self.seeding = False
-        self.doubted = reply(
+        self.driver = RaftDriver(transport, raft, self.settings, LogStore(self.committer, stored), self)
+        self.pending_reads: dict[int, concurrent.futures.Future[int]] = {}
+        # Confirmed reads by the index that must be applied before they are answered.
+        self.confirmed_reads: list[tuple[int, concurrent.futures.Future[int]]] = []
+        self.pending_commands: dict[str, PendingCommand] = {}
+        self.bootstrapping = False
+        self.no_lease_reply = reply(
             503,
             "refused",
             "This instance does not know whether its rules still hold; "
             "nothing was done, trying again is harmless.",
             1.0,
         )
-        self.figures = {"refused": 0, "changes": 0, "again": 0, "unknown": 0}
+        self.counters = {"refused": 0, "changes": 0, "again": 0, "unknown": 0}
         self.closed = False
 
-    # -- life
+    # -- lifecycle
     def start(self) -> None:
-        self.agreement.start()
+        """Begins to take part in the consensus."""
+        self.driver.start()
 
     def stop(self) -> None:
-        """Takes no part any more: nothing is agreed by way of this instance."""
-        self.agreement.stop()
+        """Takes no further part; nothing is committed through this instance any more."""
+        self.driver.stop()
 
     def close(self) -> None:
+        """Stops, and waits for the state's thread and the store."""
         self.closed = True
-        self.agreement.stop()
+        self.driver.stop()
         self.thread.shutdown()
         self.committer.stop()
 
-    # -- the door
+    # -- requests of clients
     def rejection(self) -> LocalReply | None:
-        """What a request is told while this instance may not act on its rules."""
-        if self.agreement.holds_lease(self.edge.now()) and self.state.sealed:
+        """The reply to a request while this instance may not act on its rules; None if it may."""
+        if self.driver.holds_lease(self.transport.now()) and self.state.sealed:
             return None
-        self.figures["refused"] += 1
-        return self.doubted
+        self.counters["refused"] += 1
+        return self.no_lease_reply
 
     def may_act(self) -> bool:
-        return self.state.sealed and self.agreement.holds_lease(self.edge.now())
+        """Whether the fleet has a common state and this instance's lease is valid."""
+        return self.state.sealed and self.driver.holds_lease(self.transport.now())
 
-    # -- the log asks (on the loop)
+    # -- the state machine behind the log (called on the loop)
     def applied_index(self) -> int:
-        return self.place
+        """The index of the last entry that is applied."""
+        return self.last_applied
 
-    def _on_thread(self, call: Callable[[], T], done: Callable[[T | None], None]) -> None:
-        """Runs on the state's thread, and tells the loop; None where it failed."""
+    def _run_on_state_thread(self, call: Callable[[], T], done: Callable[[T | None], None]) -> None:
+        """Runs a call on the state's thread, and `done` on the loop with its result, or None if it failed."""
 
         def run() -> None:
             try:
-                found: T | None = call()
+                result: T | None = call()
             except Exception:
-                log.exception("the state could not be changed")
-                found = None
+                log.exception("rules: the replicated state could not be read or changed")
+                result = None
             if not self.closed:
-                self.loop.call_soon_threadsafe(done, found)
+                self.loop.call_soon_threadsafe(done, result)
 
         try:
             self.thread.submit(run)
-        except RuntimeError:  # the service ends
+        except RuntimeError:  # the thread pool has been shut down
             pass
 
     def apply(self, entries: Sequence[tuple[int, int, bytes | None]], done: Callable[[bool], None]) -> None:
-        last = entries[-1][0]
-        self._on_thread(partial(self._apply, entries), partial(self._put, last, done))
+        """Applies log entries: index, term, and the command or None."""
+        last_index = entries[-1][0]
+        self._run_on_state_thread(
+            partial(self._apply, entries), partial(self._finish_apply, last_index, done)
+        )
 
     def _apply(self, entries: Sequence[tuple[int, int, bytes | None]]) -> tuple[Applied, list[Change]]:
         applied = self.state.apply(entries)
-        return applied, self._whole() if applied.whole else list(applied.changes)
+        return applied, self._full_state() if applied.whole else list(applied.changes)
 
-    def _whole(self) -> list[Change]:
+    def _full_state(self) -> list[Change]:
         tenants = [t for t in self.db.tenants() if t.state is not TenantState.GONE]
         return [*tenants, *self.db.live_keys()]
 
-    def _put(
-        self, last: int, done: Callable[[bool], None], found: tuple[Applied, list[Change]] | None
+    def _finish_apply(
+        self, last_index: int, done: Callable[[bool], None], result: tuple[Applied, list[Change]] | None
     ) -> None:
-        if found is not None:
-            self._in_force(last, *found)
-        done(found is not None)
-        if found is not None:
-            self._answer()
-            for command, base, held in found[0].fates:
-                self._fate(command, base, held)
-
-    def _in_force(self, last: int, applied: Applied, changes: list[Change]) -> None:
+        if result is not None:
+            self._publish(last_index, *result)
+        done(result is not None)
+        if result is not None:
+            self._answer_reads()
+            for command, base, held in result[0].fates:
+                self._on_command_applied(command, base, held)
+
+    def _publish(self, last_index: int, applied: Applied, changes: list[Change]) -> None:
+        """Passes applied changes on to the running proxy."""
         self.on_applied(applied, changes)
-        self.place = last
-        self.note("rules", applied=last, version=self.state.version, digest=self.state.digest)
+        self.last_applied = last_index
+        self.note("rules", applied=last_index, version=self.state.version, digest=self.state.digest)
         if applied.whole:
             log.info(
-                "rules: the fleet's state is in force here, version %d, %d changes",
+                "rules: the fleet's state has been loaded, version %d, %d tenants and keys",
                 self.state.version,
                 len(changes),
             )
         if applied.displaced:
-            log.warning("rules: what was here before was another state; it lies in service.db.before")
+            log.warning(
+                "rules: the local state differed from the fleet's and has been replaced; "
+                "a copy is in service.db.before"
+            )
 
     def load_snapshot(self, snapshot: Snapshot, done: Callable[[bool], None]) -> None:
+        """Replaces the state by a snapshot from the leader."""
+
         def run() -> tuple[Applied, list[Change]]:
-            return self.state.load(snapshot.data), self._whole()
+            return self.state.load(snapshot.data), self._full_state()
 
-        def ended(found: tuple[Applied, list[Change]] | None) -> None:
-            if found is not None:
-                self._in_force(snapshot.index, *found)
-            done(found is not None)
-            if found is not None:
-                self._answer()
-                self._jumped()
+        def finish(result: tuple[Applied, list[Change]] | None) -> None:
+            if result is not None:
+                self._publish(snapshot.index, *result)
+            done(result is not None)
+            if result is not None:
+                self._answer_reads()
+                self._resolve_commands_after_snapshot()
 
-        self._on_thread(run, ended)
+        self._run_on_state_thread(run, finish)
 
     def dump_snapshot(self, done: Callable[[int, int, bytes], None]) -> None:
+        """Calls `done` with the applied index, its term and the state as bytes."""
+
         def run() -> tuple[int, int, bytes]:
             return self.state.applied, self.state.term, self.state.dump()
 
-        def ended(found: tuple[int, int, bytes] | None) -> None:
-            if found is not None:
-                done(*found)
+        def finish(result: tuple[int, int, bytes] | None) -> None:
+            if result is not None:
+                done(*result)
 
-        self._on_thread(run, ended)
+        self._run_on_state_thread(run, finish)
 
     def leader_changed(self, leader: str, term: int) -> None:
+        """Reports the known leader, empty if there is none, and the term."""
         self.note("led", leader=leader, term=term)
         if leader:
-            log.info("rules: %s leads", leader)
+            log.info("rules: %s is the leader", leader)
         else:
             log.info("rules: no leader is known")
-        self._seed()
+        self._start_bootstrap()
 
-    # -- whose state begins the log
-    def _seed(self) -> None:
-        """The first leader hands its state to all, part by part."""
-        if not self.agreement.is_leader or self.state.sealed or self.seeding or self.closed:
+    # -- the fleet's first state
+    def _start_bootstrap(self) -> None:
+        """On the first leader: proposes its own state, in stages, as the state of the fleet."""
+        if not self.driver.is_leader or self.state.sealed or self.bootstrapping or self.closed:
             return
-        self.seeding = True
-        asyncio.ensure_future(self._hand_over(), loop=self.loop)
+        self.bootstrapping = True
+        asyncio.ensure_future(self._bootstrap(), loop=self.loop)
 
-    async def _hand_over(self) -> None:
-        """Until it is done, or another leads. A part that is lost is not waited for without an end."""
+    async def _bootstrap(self) -> None:
+        """Proposes one stage after the other. A stage may be lost with the leadership, so that each wait
+        ends; the whole is retried as long as this instance leads and no state is complete."""
         try:
             stages = await self.loop.run_in_executor(self.thread, self.state.stages)
             for stage in stages:
                 base = self.state.version
                 command = Command(secrets.token_hex(8), base, (), stage)
                 held = asyncio.wrap_future(self._propose(command), loop=self.loop)
-                if not await asyncio.wait_for(held, 10 * PATIENCE_S):
+                if not await asyncio.wait_for(held, 10 * COMMIT_TIMEOUT_S):
                     return
         except (TimeoutError, asyncio.CancelledError, RuntimeError):
-            log.warning("rules: the state was not handed over; it is tried again")
+            log.warning("rules: proposing the fleet's first state failed; trying again")
         finally:
-            self.seeding = False
+            self.bootstrapping = False
             if not self.closed and not self.state.sealed:
-                self.loop.call_later(1.0, self._seed)
+                self.loop.call_later(1.0, self._start_bootstrap)
 
-    # -- certainty and proposals (on the loop)
-    def read_completed(self, number: int, index: int | None) -> None:
-        future = self.asked.pop(number, None)
+    # -- confirmed reads and proposals (on the loop)
+    def read_completed(self, request_id: int, index: int | None) -> None:
+        """Takes the result of a ReadIndex request: a commit index, or None on timeout."""
+        future = self.pending_reads.pop(request_id, None)
         if future is None or future.done():
             return
         if index is None:
             future.set_exception(no_majority())
         else:
-            self.due.append((index, future))
-            self._answer()
+            self.confirmed_reads.append((index, future))
+            self._answer_reads()
 
-    def _answer(self) -> None:
-        ready = [future for index, future in self.due if index <= self.place]
-        self.due = [one for one in self.due if one[0] > self.place]
+    def _answer_reads(self) -> None:
+        ready = [future for index, future in self.confirmed_reads if index <= self.last_applied]
+        self.confirmed_reads = [item for item in self.confirmed_reads if item[0] > self.last_applied]
         for future in ready:
             if not future.done():
-                future.set_result(self.place)
+                future.set_result(self.last_applied)
 
-    def _ask(self, future: concurrent.futures.Future[int]) -> None:
+    def _start_read(self, future: concurrent.futures.Future[int]) -> None:
         if not self.state.sealed:
             future.set_exception(
                 no_majority(
@@ -275,63 +294,65 @@
                 )
             )
             return
-        self.asked[self.agreement.read_index()] = future
+        self.pending_reads[self.driver.read_index()] = future
 
     def _propose(self, command: Command) -> concurrent.futures.Future[bool]:
         future: concurrent.futures.Future[bool] = concurrent.futures.Future()
-        waiting = self.waiting[command.id] = Waiting(command.base, 0, future)
-        waiting.number = self.agreement.propose(encode(command))
+        pending = self.pending_commands[command.id] = PendingCommand(command.base, 0, future)
+        pending.request_id = self.driver.propose(encode(command))
         return future
 
-    def _fate(self, command: str, base: int, held: bool) -> None:
-        """A try has come up in the log. An earlier one of the same call says nothing of the last."""
-        waiting = self.waiting.get(command)
-        if waiting is not None and waiting.base == base:
-            self._over(command, held)
-
-    def _over(self, command: str, held: bool) -> None:
-        waiting = self.waiting.pop(command)
-        self.agreement.finish_proposal(waiting.number)
-        if not waiting.done.done():
-            waiting.done.set_result(held)
-
-    def _jumped(self) -> None:
-        """The state came whole, without the entries that led to it."""
-        for command, waiting in list(self.waiting.items()):
+    def _on_command_applied(self, command: str, base: int, held: bool) -> None:
+        """Resolves a command when it has been applied. An earlier attempt of the same change, on another
+        base, says nothing about the current one."""
+        pending = self.pending_commands.get(command)
+        if pending is not None and pending.base == base:
+            self._resolve_command(command, held)
+
+    def _resolve_command(self, command: str, held: bool) -> None:
+        pending = self.pending_commands.pop(command)
+        self.driver.finish_proposal(pending.request_id)
+        if not pending.done.done():
+            pending.done.set_result(held)
+
+    def _resolve_commands_after_snapshot(self) -> None:
+        """A snapshot replaces the entries that would have told the outcome of pending commands."""
+        for command, pending in list(self.pending_commands.items()):
             if self.state.known(command):
-                self._over(command, True)
-            elif waiting.base != self.state.version:
-                self._over(command, False)
+                self._resolve_command(command, True)
+            elif pending.base != self.state.version:
+                self._resolve_command(command, False)
 
-    def give_up(self, command: str) -> None:
-        waiting = self.waiting.pop(command, None)
-        if waiting is not None:
-            self.agreement.finish_proposal(waiting.number)
+    def _abandon_command(self, command: str) -> None:
+        pending = self.pending_commands.pop(command, None)
+        if pending is not None:
+            self.driver.finish_proposal(pending.request_id)
 
-    # -- the administration (on its own thread's loop)
+    # -- the administration (on the loop of its own thread)
     async def newest(self) -> None:
-        """Returns once all that was agreed when it was called is in force here. ApiProblem."""
+        """Returns once everything that was committed at the time of the call is applied here. Raises
+        ApiProblem."""
         future: concurrent.futures.Future[int] = concurrent.futures.Future()
-        self.loop.call_soon_threadsafe(self._ask, future)
+        self.loop.call_soon_threadsafe(self._start_read, future)
         try:
-            await asyncio.wait_for(asyncio.wrap_future(future), PATIENCE_S)
+            await asyncio.wait_for(asyncio.wrap_future(future), COMMIT_TIMEOUT_S)
         except TimeoutError:
             raise no_majority() from None
 
     async def change(self, call: Callable[..., Done[T]], *args: Any) -> T:
-        """A call that changes something: agreed by a majority, durable there, and in force here."""
+        """Makes a change. Returns once a majority has stored it and it is applied here. Raises ApiProblem."""
         command = secrets.token_hex(8)
-        for _ in range(TRIES):
+        for _ in range(MAX_CHANGE_ATTEMPTS):
             await self.newest()
             done, base, writes = await asyncio.get_running_loop().run_in_executor(
-                self.thread, self._try, call, args
+                self.thread, self._run_trial, call, args
             )
             if not writes:
                 return done.result
-            if await self._agreed(Command(command, base, writes)):
-                self.figures["changes"] += 1
+            if await self._commit(Command(command, base, writes)):
+                self.counters["changes"] += 1
                 return done.result
-            self.figures["again"] += 1
+            self.counters["again"] += 1
         raise ApiProblem(
             503,
             "refused",
@@ -339,20 +360,23 @@
             {"Retry-After": "1"},
         )
 
-    def _try(self, call: Callable[..., Done[T]], args: Sequence[Any]) -> tuple[Done[T], int, Any]:
+    def _run_trial(self, call: Callable[..., Done[T]], args: Sequence[Any]) -> tuple[Done[T], int, Any]:
+        """Computes a change without keeping it: its result, the version it was computed on, and its
+        writes."""
         with self.db.trial() as writes:
             done = call(*args)
         return done, self.state.version, tuple(writes)
 
-    async def _agreed(self, command: Command) -> bool:
-        asked: concurrent.futures.Future[concurrent.futures.Future[bool]] = concurrent.futures.Future()
-        self.loop.call_soon_threadsafe(lambda: asked.set_result(self._propose(command)))
-        outcome = await asyncio.wrap_future(asked)
+    async def _commit(self, command: Command) -> bool:
+        """Proposes a command and waits for its outcome: whether it took effect."""
+        proposed: concurrent.futures.Future[concurrent.futures.Future[bool]] = concurrent.futures.Future()
+        self.loop.call_soon_threadsafe(lambda: proposed.set_result(self._propose(command)))
+        outcome = await asyncio.wrap_future(proposed)
         try:
-            return await asyncio.wait_for(asyncio.wrap_future(outcome), PATIENCE_S)
+            return await asyncio.wait_for(asyncio.wrap_future(outcome), COMMIT_TIMEOUT_S)
         except TimeoutError:
-            self.loop.call_soon_threadsafe(self.give_up, command.id)
-            self.figures["unknown"] += 1
+            self.loop.call_soon_threadsafe(self._abandon_command, command.id)
+            self.counters["unknown"] += 1
             raise ApiProblem(
                 503,
                 "unknown",
@@ -362,14 +386,15 @@
                 {"Retry-After": "2"},
             ) from None
 
-    # -- what is shown
+    # -- status and metrics
     def status(self) -> dict[str, Any]:
-        raft, now = self.agreement.raft, self.edge.now()
-        left = self.agreement.session.lease.expires_at - now
+        """The `rules` object of `GET /v1/cluster`."""
+        raft, now = self.driver.raft, self.transport.now()
+        left = self.driver.session.lease.expires_at - now
         return {
             "version": self.state.version,
             "digest": self.state.digest,
-            "applied": self.place,
+            "applied": self.last_applied,
             "agreed": raft.commit_index,
             "term": raft.term,
             "leader": raft.leader or None,
@@ -384,17 +409,19 @@
         }
 
     def metrics_lines(self) -> list[str]:
-        raft = self.agreement.raft
-        found = [
+        """The metrics `cluster_rules_...`, one a line."""
+        raft = self.driver.raft
+        lines = [
             f"cluster_rules_version {self.state.version}",
             f"cluster_rules_acts {int(self.may_act())}",
-            f"cluster_rules_leads {int(self.agreement.is_leader)}",
+            f"cluster_rules_leads {int(self.driver.is_leader)}",
             f"cluster_rules_term {raft.term}",
         ]
-        return found + [f"cluster_rules_{name} {count}" for name, count in self.figures.items()]
+        return lines + [f"cluster_rules_{name} {count}" for name, count in self.counters.items()]
 
 
 def no_majority(why: str = "") -> ApiProblem:
+    """The problem that is returned when no majority of the fleet answers."""
     return ApiProblem(
         503, "no-majority", why or "No majority of the fleet answers: nothing was done.", {"Retry-After": "1"}
     )
