--- a/notchflow/cluster/agreement/driver.py
+++ b/notchflow/cluster/agreement/driver.py
@@ -173,7 +173,7 @@
             self._process()
 
     def _process(self) -> None:
-        """Carries out what an event has led to: writes, messages, applied entries, answered reads, the
+        """Carries out what an event has led to: writes, messages, applying entries, read results, the
         timer."""
         if self.stopped:
             return
@@ -247,8 +247,7 @@
         self._process()
 
     def _halt(self, error: StoreError) -> None:
-        """After a storage failure nothing more may be promised to others: takes no part until the next
-        start."""
+        """After a storage failure nothing may be promised to others: takes no part until restarted."""
         if not self.stopped:
             log.error(
                 "raft: this instance has stopped taking part, because its log cannot be written: %s; "
@@ -293,8 +292,7 @@
         self._process()
 
     def _compact(self, applied_index: int) -> None:
-        """Drops applied entries. The state machine is durable by itself; only slower members still need
-        some."""
+        """Drops applied entries: the state machine is durable by itself, only slower members need some."""
         raft = self.raft
         raft.compact(applied_index)
         base = LogBase(raft.log.base_index, raft.log.base_term, raft.base_roster)
--- a/notchflow/cluster/agreement/leader.py
+++ b/notchflow/cluster/agreement/leader.py
@@ -76,8 +76,7 @@
 
     # -- proposals
     def propose(self, now: float, data: bytes) -> int:
-        """Appends a command to the log and returns its index. Raises NotLeader, ProposalRejected or
-        ValueError."""
+        """Appends a command and returns its index. Raises NotLeader, ProposalRejected or ValueError."""
         if self.role is not Role.LEADER or self.halted:
             raise NotLeader(self.leader)
         if len(data) > MAX_ENTRY_BYTES:
@@ -166,8 +165,7 @@
         self._confirm_reads()
 
     def _advance_commit(self) -> None:
-        """Commits what a majority has, if it is of the current term, and with it all before (the paper's
-        5.4.2)."""
+        """Commits what a majority has if it is of the current term, and all before it (the paper's 5.4.2)."""
         replicated = sorted(
             (self._peer_value(name, self.durable_index, "match_index") for name in self.roster), reverse=True
         )
@@ -176,8 +174,7 @@
             self.commit_index = index
 
     def _peer_value(self, name: str, own: int, attribute: str) -> int:
-        """A value of a member as it counts towards a majority: 0 for one that lost its state and is catching
-        up."""
+        """A member's value as it counts towards a majority: 0 if it lost its state and is catching up."""
         if name == self.name:
             return own
         peer = self.peers[name]
--- a/notchflow/cluster/agreement/log.py
+++ b/notchflow/cluster/agreement/log.py
@@ -14,8 +14,7 @@
 
 
 class Log:
-    """Log entries by index, counted from 1. Entries up to `base_index` have been compacted into a
-    snapshot."""
+    """Log entries by index, counted from 1. Those up to `base_index` are compacted into a snapshot."""
 
     __slots__ = ("base_index", "base_term", "entries")
 
--- a/notchflow/cluster/agreement/raft.py
+++ b/notchflow/cluster/agreement/raft.py
@@ -92,8 +92,7 @@
 
     # -- elections
     def _check_quorum(self, now: float) -> None:
-        """Steps down if no majority has been heard lately, or once its own removal from the roster is
-        committed."""
+        """Steps down if no majority was heard lately, or once its removal from the roster is committed."""
         self.quorum_check_at = now + self.settings.election_timeout_ms
         heard = 1 + sum(
             now - peer.heard_at <= 2 * self.settings.election_timeout_ms for peer in self.peers.values()
@@ -110,8 +109,8 @@
         self.heartbeat_at = self.quorum_check_at = math.inf
 
     def _start_pre_vote(self, now: float) -> None:
-        """Asks whether it would be elected, so that an instance that was partitioned raises no term in
-        vain."""
+        """Asks whether it would be elected, so that an instance that was partitioned does not raise the term
+        and depose a working leader."""
         self._reset_election_timer(now)
         self.leader = ""
         if self.name not in self.roster or not self.joined and self.log.last_index:
@@ -174,7 +173,8 @@
             self._become_follower(now, body.term, "")
         granted = ticket_valid and self.voted_for in ("", sender)
         if granted:
-            # An empty log begins only with the votes of the whole roster, so this instance has all entries.
+            # An instance that had not joined votes only to begin an empty log, which needs the whole roster:
+            # it then has the log from its first entry.
             self.voted_for, self.joined = sender, True
             self._reset_election_timer(now)
         self._send(sender, RequestVoteResponse(self.term, granted))
@@ -323,8 +323,7 @@
         )
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replaces the log up to the snapshot's index. Entries after it stay if the log agrees with it
-        there."""
+        """Replaces the log up to the snapshot's index; entries after it stay if the log matches there."""
         if self.log.term_at(snapshot.index) == snapshot.term:
             entries = self.log.entries[snapshot.index - self.log.base_index :]
         else:
--- a/notchflow/cluster/agreement/replica.py
+++ b/notchflow/cluster/agreement/replica.py
@@ -58,8 +58,7 @@
 
     @property
     def probation_ms(self) -> float:
-        """How long after a start without stored state votes that this instance has forgotten may still
-        count."""
+        """How long after a start without stored state forgotten votes of this instance may count."""
         return self.ticket_ms * (1 + self.clock_drift) ** 2 + self.ticket_ms / 10
 
 
@@ -196,8 +195,7 @@
         return min(self.commit_index, self.durable_index)
 
     def compact(self, index: int) -> None:
-        """Deletes log entries that a durable snapshot of the state at `index` covers, except trailing
-        ones."""
+        """Deletes the entries that a durable snapshot at `index` covers, except the trailing ones."""
         index = min(index, self.applicable_index) - self.settings.trailing_entries
         if index > self.log.base_index:
             roster = Log(
--- a/notchflow/cluster/agreement/wire.py
+++ b/notchflow/cluster/agreement/wire.py
@@ -44,8 +44,8 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Asks for a vote in `term`. With `pre_vote` it asks whether the vote would be granted, and no state
-    changes."""
+    """Asks for a vote in `term`, or, with `pre_vote`, whether it would be granted; that changes no term or
+    vote."""
 
     term: Number
     last_log_index: Number
@@ -56,8 +56,7 @@
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """Answers a RequestVote. A granted pre-vote carries the ticket that the request for the vote must
-    return."""
+    """Answers a RequestVote. A granted pre-vote carries a ticket, to be returned with the vote's request."""
 
     term: Number
     vote_granted: bool
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -157,7 +157,7 @@
 
         try:
             self.thread.submit(run)
-        except RuntimeError:  # the thread pool has been shut down
+        except RuntimeError:  # the thread has been shut down: the service is stopping
             pass
 
     def apply(self, entries: Sequence[tuple[int, int, bytes | None]], done: Callable[[bool], None]) -> None:
@@ -330,8 +330,7 @@
 
     # -- the administration (on the loop of its own thread)
     async def newest(self) -> None:
-        """Returns once everything that was committed at the time of the call is applied here. Raises
-        ApiProblem."""
+        """Returns once everything committed before the call is applied here. Raises ApiProblem."""
         future: concurrent.futures.Future[int] = concurrent.futures.Future()
         self.loop.call_soon_threadsafe(self._start_read, future)
         try:
@@ -361,8 +360,7 @@
         )
 
     def _run_trial(self, call: Callable[..., Done[T]], args: Sequence[Any]) -> tuple[Done[T], int, Any]:
-        """Computes a change without keeping it: its result, the version it was computed on, and its
-        writes."""
+        """Computes a change without keeping it. Returns its result, the version it builds on, its writes."""
         with self.db.trial() as writes:
             done = call(*args)
         return done, self.state.version, tuple(writes)
--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -1,5 +1,4 @@
-"""The consensus core: all orders of events within small bounds, random faults by seed, and mutants of its
-rules."""
+"""The consensus core: all orders of events in small bounds, random faults by seed, and mutants."""
 
 from __future__ import annotations
 
@@ -79,8 +78,7 @@
 
 
 def test_changes_are_answered_and_a_partitioned_instance_acts_only_until_its_lease_ends() -> None:
-    """The rules checked under random faults would also hold if no change succeeded and no lease were
-    granted."""
+    """Random faults alone would not show that changes succeed and leases are granted at all."""
     world = World(["p1", "p2", "p3"], 7)
     assert world.until(
         lambda: all(n.session.lease.is_valid(n.clock()) for n in world.nodes.values()), 5_000.0
@@ -270,8 +268,8 @@
 
 
 def confirm_reads_before_the_term_has_a_committed_entry(patch: pytest.MonkeyPatch) -> None:
-    """A leader does not know what is committed before it has committed an entry of its own term (figure 8 of
-    the paper)."""
+    """Before a leader has committed an entry of its own term it does not know what is (figure 8 of the
+    paper)."""
 
     def confirm_reads(self: Leadership) -> None:
         self.term_start_index, term_start_index = 0, self.term_start_index
