--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -95,7 +95,7 @@
     assert in_majority is not None and in_minority is not None
     assert in_majority.version > first.version and in_minority.version == -1
     partitioned = world.nodes["p1"]
-    assert partitioned.session.lease.is_valid(partitioned.clock()), "its lease outlives the partition's start"
+    assert partitioned.session.lease.is_valid(partitioned.clock()), "it acts on the rules it knows until then"
     world.run(2_000.0)
     assert not partitioned.session.lease.is_valid(partitioned.clock())
     assert 1_000.0 < world.longest <= world.terms.divergence_bound_ms and world.judge() == []
