--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -11,10 +11,10 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from notchflow.cluster.identity import IdentityFault, read_secret
-from notchflow.cluster.messages import SECRET_MIN
+from notchflow.cluster.addresses import parse_numeric_address as numeric
+from notchflow.cluster.identity import IdentityError, read_secret
+from notchflow.cluster.messages import SECRET_BYTES_MIN
 from notchflow.cluster.model import NAMES_MAX
-from notchflow.cluster.places import place as numeric
 from notchflow.hosting.schema import (
     AdminModel,
     ClassModel,
@@ -27,7 +27,7 @@
 )
 from notchflow.interface import Limits, Rules, Settings
 from notchflow.net.config import Config
-from notchflow.net.listing import Listing, decode_listing, parse_address
+from notchflow.net.node_list import NodeList, decode_node_list, parse_address
 from notchflow.tenancy.routes import faults as route_faults
 
 _T = TypeVar("_T")
@@ -79,9 +79,9 @@
         """The state folder; a relative one is beside the file."""
         return self.path.parent / self.service.state
 
-    def listing(self) -> Listing:
+    def listing(self) -> NodeList:
         """The fixed fleet in discovery's form; empty where discovery gives it."""
-        return decode_listing(
+        return decode_node_list(
             {
                 "revision": 0,
                 "complete": True,
@@ -310,8 +310,8 @@
                 )
             )
     try:
-        secret = read_secret(path.parent / cluster.secret, SECRET_MIN)
-    except IdentityFault as error:
+        secret = read_secret(path.parent / cluster.secret, SECRET_BYTES_MIN)
+    except IdentityError as error:
         return b"", [*faults, Fault("cluster.secret", str(error))]
     return secret, faults
 
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -19,7 +19,7 @@
 from notchflow.admin.api import Backend, create
 from notchflow.admin.operations import ApiProblem, Change, Operations
 from notchflow.admin.server import AdminServer
-from notchflow.cluster.identity import IdentityFault
+from notchflow.cluster.identity import IdentityError
 from notchflow.effects.keeper import Keeper
 from notchflow.hosting.bridge import Bridge, apply
 from notchflow.hosting.derived import bounds, defaults, face, rules
@@ -28,8 +28,8 @@
 from notchflow.hosting.proxy import HostedHost
 from notchflow.hosting.rules import FleetRules
 from notchflow.interface import ListKind
-from notchflow.net.collector import settle
-from notchflow.net.listing import parse_address
+from notchflow.net.collector import freeze_startup_objects
+from notchflow.net.node_list import parse_address
 from notchflow.state.database import Database, StateError
 from notchflow.state.replicated import Applied
 from notchflow.store.commit import Committer
@@ -88,7 +88,7 @@
         self.flushing: asyncio.TimerHandle | None = None
 
     def _join(self) -> None:
-        """Becomes a member, if the file says so. IdentityFault, OSError."""
+        """Becomes a member, if the file says so. IdentityError, OSError."""
         model = self.file.cluster
         if model is None:
             return
@@ -99,18 +99,18 @@
             self.file.secret,
             self.loop,
             self.host.rebalance,
-            self.host.longest_ms,
+            self.host.longest_deadline_ms,
             self.db,
-            self.host.figures.classes,
+            self.host.metrics.classes,
             history,
         )
         self.membership = self.host.membership = member
         member.changed.append(self._taking)
         self.directory.shared = member.limits
-        self.door.ready = lambda: member.ready(self.host.duty.away)
+        self.door.ready = lambda: member.ready(self.host.lifecycle.draining)
         if member.rules is not None:
-            member.rules.take = self._agreed
-            self.door.doubts = member.rules.refuses
+            member.rules.on_applied = self._agreed
+            self.door.doubts = member.rules.rejection
         self._taking()
 
     def _rules(self) -> FleetRules | None:
@@ -187,7 +187,7 @@
         self.admin.start()
         if self.membership is not None:
             self.membership.start()
-        settle()  # ten thousand tenants stay
+        freeze_startup_objects()  # ten thousand tenants stay
         self.flushing = self.loop.call_later(USED_EVERY_S, self._flush)
         log.info(
             "serving %d tenants on %s, administration on %s",
@@ -221,7 +221,7 @@
             file = load(self.file.path)
         except FileFaults as error:
             log.error("the operator file stays as it was: %s", error)
-            self.host.figures.cfg_invalid += 1
+            self.host.metrics.cfg_invalid += 1
             return []
         fixed = [
             name
@@ -260,7 +260,7 @@
             )
         )
         if self.membership is not None and self.membership.limits is not None:
-            self.membership.limits.longest(self.host.longest_ms)
+            self.membership.limits.longest(self.host.longest_deadline_ms)
         self.directory.redefine(
             file.tenants.limits.core(), [r.core() for r in file.tenants.routes], file.service.in_hand
         )
@@ -354,7 +354,7 @@
     asyncio.set_event_loop(loop)
     try:
         service = Service(file, loop)
-    except (StateError, StoreError, ManifestError, Locked, IdentityFault, OSError) as error:
+    except (StateError, StoreError, ManifestError, Locked, IdentityError, OSError) as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return 1
     try:
--- /dev/null
+++ b/notchflow/net/dispatcher.py
@@ -0,0 +1,492 @@
+"""The request dispatcher: reports events to the policy and carries out the actions that it returns.
+
+It guarantees that each request gets exactly one final answer, and enforces deadlines whatever the policy
+does.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import deque
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from notchflow.interface import (
+    Action,
+    BodyArrived,
+    BodyDiscarded,
+    Cancel,
+    ClientGone,
+    Event,
+    Fail,
+    Outcome,
+    Probe,
+    Probed,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
+    Settings,
+    Status,
+    StreamStarted,
+    Timer,
+    Watch,
+)
+from notchflow.net.attempt import Attempt, load_report
+from notchflow.net.clock import Clock
+from notchflow.net.config import Config
+from notchflow.net.discovery import Discovery
+from notchflow.net.exchange import CLIENT_CLOSED, ActiveRequest, ClientRequest, UpstreamResponse
+from notchflow.net.frontend import Frontend
+from notchflow.net.pool import Pool
+from notchflow.net.stalls import StallDetector
+from notchflow.net.timers import TimerId, TimerWheel
+from notchflow.operations.metrics import ProxyMetrics
+from notchflow.policy.balancer import Balancer
+
+log = logging.getLogger(__name__)
+
+OK, MOOT = Status.OK, Status.MOOT  # looked up for every request
+LATE_TIMER_MS = 2.0  # a timer later than this means that the event loop was busy
+DESCRIPTOR_WAIT_MS = 100.0  # a dial without a descriptor waits this long before an idle client is closed
+
+
+class Dispatcher:
+    """The active requests of one proxy with their attempts, timers and descriptors."""
+
+    discovery: Discovery
+    frontend: Frontend
+    frontends: list[Frontend]
+    settings: Settings
+    classes: dict[str, float]  # deadline of each class, milliseconds
+    longest_deadline_ms: float
+    max_attempts: int
+    descriptor_limit: int
+    total_descriptor_limit: int
+    buffer_limit: float
+    total_buffer_limit: float
+
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, clock: Clock | None = None) -> None:
+        self.config, self.loop = config, loop
+        self.clock = clock or Clock(loop)
+        self.balancer = Balancer(config.settings, config.seed, self.clock.now())
+        self.active_requests: dict[int, ActiveRequest] = {}
+        self.last_request_id = 0
+        self.pools: dict[int, Pool] = {}
+        self.event_queue: deque[Event] = deque()
+        self.dispatching = False
+        self.now = 0.0  # time of the last policy call: attempts that it decided on begin then
+        self.timers = TimerWheel()
+        self.stalls = StallDetector(self.clock.now())
+        self.timer_handle: asyncio.TimerHandle | None = None
+        self.timer_due_at = float("inf")
+        self.descriptors_used = 0
+        self.waiting_dials: dict[Attempt, None] = {}  # dials that wait for a descriptor, oldest first
+        self.buffered_bytes = 0
+        self.answer_deadline = float("inf")  # set at shutdown: caps the deadline of every request
+        self.metrics = ProxyMetrics()
+
+    # -- time
+    def call_at(self, due: float, callback: Callable[..., None], argument: Any = None) -> TimerId:
+        """Calls back at `due`, never earlier. `timers.cancel` takes the returned id."""
+        timer_id = self.timers.schedule(due, callback, argument)
+        if due < self.timer_due_at:
+            self._arm_timer(due)
+        return timer_id
+
+    def call_soon(self, callback: Callable[..., None], argument: Any) -> None:
+        """Calls back in the next iteration of the event loop."""
+        self.loop.call_soon(callback, argument)
+
+    def call_after_poll(self, callback: Callable[..., None], argument: Any) -> None:
+        """Calls back after the loop has polled once more, so that data that was ready beside the current
+        event has been read."""
+        self.loop.call_soon(self.loop.call_soon, callback, argument)
+
+    def _arm_timer(self, due: float) -> None:
+        if self.timer_handle is not None:
+            self.timer_handle.cancel()
+        self.timer_due_at = due
+        self.timer_handle = self.loop.call_later(
+            max(due - self.clock.now(), 0.0) / 1e3, self._run_timers, due
+        )
+
+    def _run_timers(self, due: float, again: bool = False) -> None:
+        now = self.clock.now()
+        if not again and now > due + LATE_TIMER_MS:
+            # The loop was busy: responses may be waiting in the kernel, which is not the nodes' fault.
+            self.timer_handle = self.loop.call_later(0.001, self._run_timers, due, True)
+            return
+        for callback, argument in self.timers.pop_due(now):
+            try:
+                callback(argument)
+            except Exception:
+                log.exception("timer callback failed")
+        self.timer_handle, self.timer_due_at = None, float("inf")
+        next_due = self.timers.next_due()
+        if next_due < self.timer_due_at:
+            self._arm_timer(next_due)
+
+    # -- descriptors
+    def acquire_descriptor(self) -> bool:
+        """Reserves a descriptor for a dial, closing an idle connection to a node if none is left; false where
+        that fails."""
+        if self.descriptors_used >= self.descriptor_limit and not self.close_idle_connection():
+            return False
+        self.descriptors_used += 1
+        return True
+
+    def release_descriptor(self) -> None:
+        """Returns a descriptor. Waiting dials take precedence over new clients."""
+        self.descriptors_used -= 1
+        if self.waiting_dials:
+            self.call_soon(self._resume_dials, None)
+        for frontend in self.frontends:
+            frontend.resume_accepting()
+
+    def close_idle_connection(self) -> bool:
+        """Closes the connection to a node that has been idle longest; false if there is none."""
+        idle = [p for p in self.pools.values() if p.idle]
+        if not idle:
+            return False
+        pool = min(idle, key=lambda p: p.idle[0].idle_since)
+        pool.idle.pop(0).close()
+        return True
+
+    def await_descriptor(self, attempt: Attempt) -> None:
+        """Queues a dial for the next free descriptor. A client is not closed at once, as its next request
+        might be lost."""
+        self.waiting_dials[attempt] = None
+        self.call_at(self.clock.now() + DESCRIPTOR_WAIT_MS, self._descriptor_wait_over, attempt)
+
+    def _descriptor_wait_over(self, attempt: Attempt) -> None:
+        """No descriptor came free within DESCRIPTOR_WAIT_MS: closes an idle client, or ends the attempt."""
+        if attempt not in self.waiting_dials:
+            return
+        if any(frontend.close_idle() for frontend in self.frontends):
+            self.await_descriptor(attempt)
+            return
+        del self.waiting_dials[attempt]
+        attempt.not_sent()
+
+    def _resume_dials(self, _: object) -> None:
+        while self.waiting_dials and self.descriptors_used < self.descriptor_limit:
+            attempt = next(iter(self.waiting_dials))
+            del self.waiting_dials[attempt]
+            self._start_attempt(attempt)
+
+    def has_waiting_dials(self) -> bool:
+        """Whether dials are waiting for descriptors."""
+        return bool(self.waiting_dials)
+
+    # -- policy
+    def dispatch(self, event: Event) -> None:
+        """Passes an event to the policy and executes its actions. Events caused meanwhile are queued and
+        handled in order."""
+        if self.dispatching:
+            self.event_queue.append(event)
+            return
+        self.dispatching = True
+        while True:
+            try:
+                self.now = now = self.clock.now()
+                for action in self.balancer.handle(now, event):
+                    if isinstance(action, Send):
+                        self._send(action)
+                    else:
+                        self._execute(action)
+            except Exception:  # at most this request fails, never the process
+                log.exception("policy failed on %s", type(event).__name__)
+                self._recover(event)
+            if not self.event_queue:
+                break
+            event = self.event_queue.popleft()
+        self.dispatching = False
+
+    def _recover(self, event: Event) -> None:
+        number = getattr(event, "id", None)
+        active = self.active_requests.get(number) if number is not None else None
+        if active is not None and not active.done:
+            self._fail_request(active)
+            if not isinstance(event, ClientGone):
+                self.event_queue.append(ClientGone(active.id))
+
+    def _execute(self, action: Action) -> None:
+        match action:
+            case Refuse(number, wait):
+                active = self.active_requests.get(number)
+                if active is not None and not active.done:
+                    self._finish_request(active)
+                    active.client_request.client.refuse(active.client_request, wait)
+            case Fail(number):
+                active = self.active_requests.get(number)
+                if active is not None:
+                    self._fail_request(active)
+            case Cancel(number, attempt):
+                active = self.active_requests.get(number)
+                target = active.outstanding_attempts.get(attempt) if active is not None else None
+                if target is not None and self.settings.limits.cancel and not target.streaming:
+                    target.abandon(Status.CANCELLED)
+            case SetTimer(at, token):
+                self.call_at(at, self._on_timer, token)
+            case Watch(on):
+                self.discovery.watch(on)
+            case Probe(node):
+                self.event_queue.append(Probed(node, Status.MOOT))
+
+    def _on_timer(self, token: str) -> None:
+        self.dispatch(Timer(token))
+
+    def _send(self, action: Send) -> None:
+        number, node, timeout, before = action
+        active = self.active_requests.get(number)
+        if active is None:
+            log.error("policy sent an attempt for a request that is already finished")
+            return
+        attempt_number, active.attempt_count = active.attempt_count, active.attempt_count + 1
+        pool, now = self.pools.get(node), self.now
+        if (
+            pool is None
+            or active.done
+            or active.streaming_attempt is not None
+            or now >= active.deadline
+            or attempt_number >= self.max_attempts
+            or active.client_request.body_start_dropped
+            or (active.outstanding_attempts and not self.settings.limits.second_copies)
+        ):
+            self.event_queue.append(Outcome(number, attempt_number, node, Status.MOOT, closed=active.done))
+            return
+        expires_at = active.deadline if timeout is None else min(active.deadline, now + timeout)
+        attempt = Attempt(self, active, attempt_number, node, pool, now, expires_at, before)
+        active.outstanding_attempts[attempt_number] = attempt
+        if expires_at < active.deadline:
+            attempt.timeout_timer = self.call_at(expires_at, self._on_attempt_timeout, attempt)
+        if attempt_number or active.client_request.earliest_arrival_at != self.clock.loop_time():
+            self.call_after_poll(self._start_attempt, attempt)
+        else:
+            pool.send(attempt, now)
+
+    def _start_attempt(self, attempt: Attempt) -> None:
+        """Starts a deferred attempt, if it may still start."""
+        if attempt.ended:
+            return
+        attempt.begun_at = now = self.clock.now()
+        if attempt.may_start(now):
+            attempt.pool.send(attempt, now)
+        else:
+            attempt.not_sent()
+
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
+        if not attempt.ended and not attempt.streaming:
+            attempt.abandon(Status.TIMEOUT)
+
+    # -- request life cycle
+    def start_request(
+        self,
+        request: ClientRequest,
+        cls: str,
+        budget_ms: float | None,
+        key: str | None = None,
+        tenant: str | None = None,
+        hint_ms: float | None = None,
+        size: float | None = None,
+        retry: bool = False,
+        write: bool = False,
+        earlier: float | None = None,
+    ) -> None:
+        """Accepts a request, which from here on gets exactly one final answer. `earlier`: milliseconds since
+        a request with the same effect may first have run."""
+        if budget_ms is None:
+            budget_ms = self.classes.get(cls, self.longest_deadline_ms)
+        self.last_request_id = number = self.last_request_id + 1
+        arriving = request.streams_body and not request.body_complete
+        deadline = request.arrived_at + budget_ms
+        if deadline > self.answer_deadline:
+            deadline = self.answer_deadline
+        request.class_counts = self.metrics.begin_request(cls)
+        request.active = active = ActiveRequest(number, request, deadline)
+        if deadline <= self.clock.now():
+            active.last_status = Status.TIMEOUT
+            self._fail_request(active)
+            return
+        if request.client.has_left(self.clock.now()):
+            self._end_departed(active)
+            return
+        if arriving:
+            active.budget_ms = budget_ms
+        self.active_requests[number] = active
+        active.deadline_timer = self.call_at(deadline, self._on_deadline, number)
+        self.dispatch(
+            Request(
+                number,
+                cls,
+                deadline,
+                key,
+                tenant,
+                hint_ms,
+                size,
+                retry,
+                write,
+                arriving,
+                None if earlier is None else self.clock.now() - earlier,
+            )
+        )
+
+    # -- streamed request bodies
+    def body_received(self, active: ActiveRequest, pieces: Sequence[bytes]) -> None:
+        """Forwards pieces of a streamed body to the outstanding attempts."""
+        for attempt in list(active.outstanding_attempts.values()):
+            attempt.send_body(pieces)
+
+    def finish_body(self, active: ActiveRequest) -> None:
+        """The body is complete: the client's budget runs from now on."""
+        if active.done:
+            return
+        active.deadline = min(self.clock.now() + active.budget_ms, self.answer_deadline)
+        if active.deadline_timer is not None:
+            self.timers.cancel(active.deadline_timer)
+        active.deadline_timer = self.call_at(active.deadline, self._on_deadline, active.id)
+        for attempt in list(active.outstanding_attempts.values()):
+            attempt.end_body()
+        self.dispatch(BodyArrived(active.id, active.deadline))
+
+    def try_discard_body(self, active: ActiveRequest) -> bool:
+        """Whether the buffered start of the body may be discarded, as exactly one node is receiving it. If
+        so, notifies the policy, as no retry is possible from then on."""
+        if (
+            active.done
+            or len(active.outstanding_attempts) != 1
+            or any(a.connection is None for a in active.outstanding_attempts.values())
+        ):
+            return False
+        self.dispatch(BodyDiscarded(active.id))
+        return True
+
+    def body_stalled(self, active: ActiveRequest) -> None:
+        """The node stopped reading the body. Without its last byte the request cannot have run."""
+        self._abandon_attempts(active)
+
+    def _abandon_attempts(self, active: ActiveRequest) -> None:
+        for attempt in list(active.outstanding_attempts.values()):
+            attempt.abandon(Status.CONNECT_FAILED)
+
+    def _on_deadline(self, number: int) -> None:
+        active = self.active_requests.get(number)
+        if active is None or active.streaming_attempt is not None:
+            return
+        for attempt in list(active.outstanding_attempts.values()):
+            attempt.abandon(Status.TIMEOUT)
+        if not active.done:  # the policy held the request past its deadline
+            self._fail_request(active)
+            self.dispatch(ClientGone(active.id))
+
+    def _end_departed(self, active: ActiveRequest) -> None:
+        """Ends a request whose client has disconnected, so that no attempt may start. A client that closed
+        only its sending side still gets a 503, which says that nothing ran."""
+        request = active.client_request
+        request.finish(CLIENT_CLOSED)
+        self.client_gone(active)
+        if active.may_have_run:
+            request.client.fail(request, 502)
+        else:
+            request.client.refuse(request, 0.0)
+
+    def client_gone(self, active: ActiveRequest) -> None:
+        """The client has disconnected: ends its request and notifies the policy."""
+        if active.done:
+            return
+        self._finish_request(active)
+        if active.streaming_attempt is not None:
+            active.streaming_attempt.abandon(Status.CANCELLED)
+        if active.client_request.streams_body and not active.client_request.body_complete:
+            self._abandon_attempts(active)  # also without `cancel`: the body will never be complete
+        self.dispatch(ClientGone(active.id))
+
+    def stream_started(self, attempt: Attempt, response: UpstreamResponse) -> bool:
+        """A long response begins; whether it is the one that the client gets."""
+        active = attempt.request
+        if active.done or active.streaming_attempt is not None:
+            return False
+        active.streaming_attempt = attempt
+        active.client_request.client.begin_stream(active.client_request, response)
+        self.dispatch(StreamStarted(active.id, attempt.number, attempt.node))
+        return True
+
+    def set_response_paused(self, active: ActiveRequest, paused: bool) -> None:
+        """Pauses or resumes reading from the node, as the client reads a streamed response too slowly or has
+        caught up."""
+        connection = active.streaming_attempt.connection if active.streaming_attempt else None
+        if connection is not None:
+            if not paused:
+                connection.last_read_at = self.clock.now()
+            connection.set_paused(paused)
+
+    def attempt_ended(self, attempt: Attempt, status: Status, response: UpstreamResponse | None) -> None:
+        """Handles the end of an attempt. The first 200, or the end of a stream, is the final answer."""
+        active = attempt.request
+        active.outstanding_attempts.pop(attempt.number, None)
+        if self.waiting_dials:  # it no longer needs a descriptor
+            self.waiting_dials.pop(attempt, None)
+        active.last_status = status
+        if not status.never_ran:
+            active.may_have_run = True
+            if active.client_request.ticket is not None:
+                active.client_request.may_have_run = True
+        if (
+            status is MOOT
+            and not (active.done or active.outstanding_attempts)
+            and active.client_request.client.has_left(self.clock.now())
+        ):
+            self._end_departed(active)
+        if not active.done:
+            request = active.client_request
+            if attempt.streaming:
+                active.done = True
+                request.client.end_stream(request, status is OK)
+            elif response is not None and status is OK:
+                active.done = True
+                request.client.serve(request, response)
+        if active.streaming_attempt is attempt:
+            active.streaming_attempt = None  # else a reference cycle is left to the garbage collector
+        hit = load = None
+        if response is not None:
+            ended_at, hit = response.begun_at, response.headers.get(b"x-hit")
+            if b"x-load-report" in response.headers:
+                load = load_report(response, self.config.report_fields)
+        else:
+            ended_at = self.clock.loop_time()
+        if attempt.timeout_timer is not None:
+            self.timers.cancel(attempt.timeout_timer)
+        if active.done and not active.outstanding_attempts:
+            self._remove_request(active)
+        latency_ms = ended_at - attempt.begun_at
+        self.dispatch(
+            Outcome(
+                active.id,
+                attempt.number,
+                attempt.node,
+                status,
+                latency_ms if latency_ms > 0.0 else 0.0,
+                active.done,
+                None if hit is None else hit == b"hit",
+                load,
+            )
+        )
+
+    def _fail_request(self, active: ActiveRequest) -> None:
+        if not active.done:
+            self._finish_request(active)
+            timed_out = active.last_status is Status.TIMEOUT or self.clock.now() >= active.deadline
+            active.client_request.client.fail(active.client_request, 504 if timed_out else 502)
+
+    def _finish_request(self, active: ActiveRequest) -> None:
+        active.done = True
+        if not active.outstanding_attempts:
+            self._remove_request(active)
+
+    def _remove_request(self, active: ActiveRequest) -> None:
+        """Drops a request that is answered and has no outstanding attempt, with its deadline timer."""
+        self.active_requests.pop(active.id, None)
+        if active.deadline_timer is not None:
+            self.timers.cancel(active.deadline_timer)
--- /dev/null
+++ b/notchflow/net/request_reader.py
@@ -0,0 +1,406 @@
+"""Reads requests from a client connection and bounds the size of heads, framing and bodies, and the time they
+take."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import deque
+from typing import Any, Protocol
+
+from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
+
+from notchflow.net.exchange import HOP_BY_HOP, ClientHost, ClientRequest, Gateway
+
+log = logging.getLogger(__name__)
+
+MAX_HEAD_BYTES = 32 << 10
+MAX_BODY_BYTES = 32 << 20
+# a longer body is streamed to a node as it arrives, and buffered as far as memory allows
+STREAM_BODY_BYTES = 256 << 10
+MAX_PIPELINED = 16
+# A request must arrive within these bounds, so that clients that send nothing or half a request hold no
+# descriptor. A head may take 2 s; a body may arrive at half the rate of the slowest clients, judged by the
+# bytes received so far.
+HEAD_TIMEOUT_MS, MIN_BODY_BYTES_PER_MS = 2_300.0, 32.0
+PARSE_SLICE_BYTES = 8 << 10  # a longer read is parsed in slices, so that the bounds on framing hold within it
+MAX_FIELDS = 256
+# bytes of a chunked body that are not content: in all, and for each chunk
+MAX_FRAMING_BYTES, FRAMING_BYTES_PER_CHUNK = 4 << 10, 32
+JOIN_BELOW_BYTES = 1 << 10  # smaller parts of a body are joined, as each bytes object has a memory overhead
+PARSED_HEADERS = frozenset(
+    {
+        b"x-call-id",
+        b"x-call-class",
+        b"x-caller",
+        b"x-budget",
+        b"x-again",
+        b"x-call-cost",
+        b"x-call-info",
+        b"expect",
+        b"idempotency-key",
+        b"host",
+    }
+)
+REPLACED_HEADERS = frozenset({b"x-budget", b"expect"})
+# A repeated field is ambiguous: the proxy might use one value and the node the other.
+SINGLETON_HEADERS = frozenset({b"x-call-id", b"idempotency-key", b"host"})
+# A client may list hop-by-hop fields in Connection. These fields are end-to-end and stay: without X-Call-Id
+# or Idempotency-Key a node could not recognise a repeat, and an effect would happen twice.
+END_TO_END_HEADERS = PARSED_HEADERS | {
+    b"authorization",
+    b"content-type",
+    b"content-encoding",
+    b"cache-control",
+}
+FRAMING_HEADERS = frozenset({b"connection", b"transfer-encoding"})
+
+
+class ConnectionOwner(Protocol):
+    """What a client connection needs of the frontend that accepted it."""
+
+    host: ClientHost
+    door: Gateway | None
+    clients: dict[Any, None]
+    idle: dict[Any, None]
+    lingering: dict[Any, None]
+
+    def connection_closed(self, client: Any) -> None:
+        """Forgets a client connection that has closed."""
+
+
+class RequestReader(asyncio.Protocol):
+    """The reading half of a client connection: parses requests and appends them to `queued`."""
+
+    __slots__ = (
+        "frontend",
+        "host",
+        "transport",
+        "parser",
+        "arriving",
+        "in_head",
+        "head_size",
+        "queued",
+        "current",
+        "closing",
+        "active_at",
+        "request_due_since",
+        "framing_bytes",
+        "chunk_count",
+        "pipeline_full",
+        "body_paused_at",
+        "read_limit_reached",
+        "was_paused",
+        "unsent_pieces",
+    )
+
+    def __init__(self, frontend: ConnectionOwner) -> None:
+        self.frontend = frontend
+        self.host = frontend.host
+        self.transport: asyncio.Transport | None = None
+        self.parser: HttpRequestParser | None = None
+        self.arriving: ClientRequest | None = None
+        self.in_head = False
+        self.head_size = self.framing_bytes = self.chunk_count = 0
+        self.queued: deque[ClientRequest] = deque()
+        self.current: ClientRequest | None = None
+        self.pipeline_full = False  # reading pauses until the queue is shorter
+        self.body_paused_at: float | None = None  # since when no more of the body is wanted
+        self.read_limit_reached = False  # reading pauses until the next turn of the loop
+        self.was_paused = False  # reading was paused before, so an end of file may be unread
+        self.unsent_pieces: list[bytes] = []  # parts of a streamed body that are not forwarded yet
+        self.closing = False
+        self.active_at = 0.0
+        # when the current wait for a request began: for the first one, or for one that has begun to arrive
+        self.request_due_since: float | None = None
+
+    # -- implemented by ClientConnection
+    def _new_request(self) -> ClientRequest:
+        """Returns a new request, whose first bytes have arrived."""
+        raise NotImplementedError
+
+    def _start_next(self) -> None:
+        """Starts the next queued request, if none is in progress."""
+        raise NotImplementedError
+
+    def close(self) -> None:
+        """Closes the connection once everything written has been sent."""
+        raise NotImplementedError
+
+    def fail(self, request: ClientRequest, status: int) -> None:
+        """Answers that the request failed, which leaves open whether it ran."""
+        raise NotImplementedError
+
+    # -- input
+    def data_received(self, data: bytes) -> None:
+        """asyncio: bytes have arrived. Parses them, then starts the next request."""
+        self.active_at = self.host.clock.loop_time()
+        if self.closing or self.parser is None:
+            return  # input after an error is read and dropped, so that no reset destroys the response
+        self.frontend.idle.pop(self, None)
+        if len(data) <= PARSE_SLICE_BYTES:
+            self._parse(data)
+        else:
+            for at in range(0, len(data), PARSE_SLICE_BYTES):
+                if not self.closing:
+                    self._parse(data[at : at + PARSE_SLICE_BYTES])
+        if self.arriving is not None and self.arriving.streams_body:
+            self._forward_parts(self.arriving)
+            if len(data) > PARSE_SLICE_BYTES:
+                self._pause_until_next_turn()
+        self._start_next()
+        if self.current is None and self.arriving is None and not self.queued and not self.closing:
+            self.frontend.idle[self] = None  # the rest of a request that was already answered has arrived
+
+    def _parse(self, data: bytes) -> None:
+        if self.parser is None:
+            return
+        request = self.arriving
+        before = request.body_size if request is not None else 0
+        try:
+            self.parser.feed_data(data)
+        except HttpParserUpgrade:
+            self.closing = True  # the request itself is valid HTTP/1.1; what follows it cannot be parsed
+        except HttpParserError as error:
+            self._reject(400, f"malformed request: {error}")
+        if self.in_head:
+            self.head_size += len(data)
+            if self.head_size >= MAX_HEAD_BYTES:
+                self._reject(431, f"head larger than {MAX_HEAD_BYTES} bytes")
+        elif request is not None and request is self.arriving:  # within a body
+            self.framing_bytes += len(data) - (request.body_size - before)
+            if self.framing_bytes > MAX_FRAMING_BYTES + FRAMING_BYTES_PER_CHUNK * self.chunk_count:
+                self._reject(400, "more framing than content")
+
+    # -- parser callbacks
+    def on_message_begin(self) -> None:
+        """Parser: a request begins."""
+        self.arriving = self._new_request()
+        self.in_head, self.head_size, self.framing_bytes, self.chunk_count = True, 0, 0, 0
+        self.request_due_since = self.active_at
+
+    def on_url(self, url: bytes) -> None:
+        """Parser: a part of the request target."""
+        if self.arriving is not None:
+            self.arriving.url += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser: a header or a trailer field."""
+        request, lower_name = self.arriving, name.lower()
+        if request is None or not self.in_head:
+            return  # a trailer field
+        if lower_name in PARSED_HEADERS:
+            if lower_name in SINGLETON_HEADERS and lower_name in request.headers:
+                request.error_status = 400
+            request.headers[lower_name] = value
+            if lower_name in REPLACED_HEADERS:
+                return
+        elif lower_name in HOP_BY_HOP:
+            request.headers[lower_name] = (
+                b"%b, %b" % (request.headers[lower_name], value) if lower_name in request.headers else value
+            )
+            return
+        request.forwarded_headers.append(b"%b: %b\r\n" % (name, value))
+
+    def on_headers_complete(self) -> None:
+        """Parser: the head is complete."""
+        request, parser = self.arriving, self.parser
+        if request is None or parser is None:
+            return
+        self.in_head = False
+        request.method = parser.get_method()
+        request.chunks_allowed = parser.get_http_version() == "1.1"
+        request.keep_alive = request.chunks_allowed and parser.should_keep_alive()
+        if not FRAMING_HEADERS.isdisjoint(request.headers) and not self._check_framing(request):
+            return
+        if len(request.forwarded_headers) > MAX_FIELDS:
+            self._reject(431, f"more than {MAX_FIELDS} header fields")
+            return
+        if self.frontend.door is not None and not request.error_status:
+            self.frontend.door.head(request)
+        if int(request.headers.get(b"content-length", 0)) > MAX_BODY_BYTES:
+            self._reject(413, f"body larger than {MAX_BODY_BYTES} bytes")
+        elif b"expect" in request.headers:
+            self._handle_expect(request)
+
+    def _check_framing(self, request: ClientRequest) -> bool:
+        """Evaluates Connection and Transfer-Encoding. Returns false where the coding is not supported."""
+        named = request.headers.get(b"connection")
+        if named is not None and b"," in named or named and named.lower() not in (b"keep-alive", b"close"):
+            tokens = {t.strip().lower() for t in named.split(b",")} - END_TO_END_HEADERS
+            drop = tuple(t + b":" for t in tokens if t)
+            request.forwarded_headers = [
+                line for line in request.forwarded_headers if not line.lower().startswith(drop)
+            ]
+        coding = request.headers.get(b"transfer-encoding")
+        if coding is not None and coding.strip().lower() != b"chunked":
+            # The node would not be told of the coding.
+            self._reject(501, f"unsupported transfer coding {coding!r:.60}")
+            return False
+        return True
+
+    def _handle_expect(self, request: ClientRequest) -> None:
+        """Handles Expect: 100-continue: asks for the body, or rejects the request before it is sent."""
+        if request.local_reply is not None:
+            # The client need not send the body.
+            self._reject(request.local_reply.status, "rejected before its body was sent")
+        elif request.headers[b"expect"].lower() == b"100-continue":
+            if self.current is None and not self.queued and self.transport is not None:
+                self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, data: bytes) -> None:
+        """Parser: a part of the body."""
+        request = self.arriving
+        if request is None:
+            return
+        request.body_size += len(data)
+        if request.body_size > MAX_BODY_BYTES:
+            self._reject(413, f"body larger than {MAX_BODY_BYTES} bytes")
+        elif request.drop_body:
+            return
+        elif request.streams_body or self._should_stream(request, len(data)):
+            self._stream_body(request, data)
+        elif request.local_reply is None and not request.body_not_held:
+            full = self.host.buffered_bytes + len(data) > self.host.buffer_limit
+            if full or (request.ticket is not None and not request.ticket.charge(len(data))):
+                request.body_not_held = True
+                request.release_body()
+            else:
+                self.host.buffered_bytes += len(data)
+                request.charged_bytes += len(data)
+                if request.body and len(data) < JOIN_BELOW_BYTES and len(request.body[-1]) < JOIN_BELOW_BYTES:
+                    request.body[-1] += data
+                else:
+                    request.body.append(data)
+
+    def _should_stream(self, request: ClientRequest, size: int) -> bool:
+        """Decides whether the body is streamed to the node from here on."""
+        if (
+            self.frontend.door is not None
+            or request.method != b"PUT"
+            or request.error_status
+            or request.body_not_held
+        ):
+            return False
+        over_limit = self.host.buffered_bytes + size > self.host.buffer_limit
+        if (
+            request.body_size > STREAM_BODY_BYTES
+            or over_limit
+            and int(request.headers.get(b"content-length", 0)) > STREAM_BODY_BYTES
+        ):
+            request.streams_body = True
+            self.queued.append(request)
+        return request.streams_body
+
+    def _stream_body(self, request: ClientRequest, data: bytes) -> None:
+        """Takes a part of a streamed body. It is also buffered while memory allows, so that the whole body
+        can be sent to another node; beyond that, reading pauses until a node reads."""
+        host, active = self.host, request.active
+        if not request.body_start_dropped:
+            host.buffered_bytes += len(data)
+            request.charged_bytes += len(data)
+            request.body.append(data)
+        if active is not None:
+            self.unsent_pieces.append(data)
+        if not request.body_start_dropped and host.buffered_bytes > host.buffer_limit:
+            if active is not None and host.try_discard_body(active):
+                self._forward_parts(request)
+                request.body_start_dropped = True
+                request.release_body()
+            else:
+                self.set_body_wanted(False)
+
+    def _forward_parts(self, request: ClientRequest) -> None:
+        """Forwards the parts read so far in one write."""
+        pieces, self.unsent_pieces = self.unsent_pieces, []
+        if pieces and request.active is not None:
+            self.host.body_received(request.active, pieces)
+
+    def _pause_until_next_turn(self) -> None:
+        """Leaves the rest of a body for the next turn of the loop. Otherwise the loop reads a socket that has
+        more data up to 32 times in a row, 8 MiB, while all other clients wait."""
+        if not self.read_limit_reached:
+            self.read_limit_reached = True
+            self._set_reading(False)
+            self.host.call_soon(self._resume_next_turn, None)
+
+    def _resume_next_turn(self, _: object = None) -> None:
+        self.read_limit_reached = False
+        self._set_reading(True)
+
+    def set_body_wanted(self, on: bool) -> None:
+        """Resumes or pauses reading the body. While it is paused, the time limit for the client does not
+        run."""
+        if on is (self.body_paused_at is None) or self.transport is None or self.transport.is_closing():
+            return
+        now = self.host.clock.now()
+        if on:
+            assert self.body_paused_at is not None
+            if self.request_due_since is not None:
+                self.request_due_since += now - self.body_paused_at
+            self.body_paused_at, self.active_at = None, now
+        else:
+            self.body_paused_at = now
+        self._set_reading(on)
+
+    def _set_reading(self, on: bool) -> None:
+        if self.transport is None or self.transport.is_closing():
+            return
+        if not on:
+            self.was_paused = True
+            self.transport.pause_reading()
+        elif not self.pipeline_full and self.body_paused_at is None and not self.read_limit_reached:
+            self.transport.resume_reading()
+
+    def on_chunk_header(self) -> None:
+        """Parser: a chunk begins. Chunks are counted for the bound on framing."""
+        self.chunk_count += 1
+
+    def on_message_complete(self) -> None:
+        """Parser: the request is complete."""
+        request, self.arriving = self.arriving, None
+        self.request_due_since = None
+        if request is None:
+            return
+        request.arrived_at = self.active_at
+        request.earliest_arrival_at = self.host.stalls.earliest_arrival(self.active_at)
+        if request.streams_body:
+            self._forward_parts(request)
+            request.body_complete = True
+            self.set_body_wanted(True)
+            if request.drop_body and not request.keep_alive:
+                self.close()
+            if request.active is not None:
+                self.host.finish_body(request.active)
+            return
+        if request.body_size or request.method == b"PUT":
+            request.forwarded_headers.append(b"Content-Length: %d\r\n" % request.body_size)
+        self.queued.append(request)
+        if len(self.queued) >= MAX_PIPELINED and self.transport is not None:
+            self.pipeline_full = True
+            self._set_reading(False)
+
+    def _reject(self, status: int, reason: str) -> None:
+        """Rejects input that cannot be handled as a request. The framing of what follows is unknown, so
+        nothing after it is parsed."""
+        if self.closing:
+            return
+        peer = self.transport.get_extra_info("peername") if self.transport is not None else None
+        log.info("a client's connection ends with %d: %s, from %s", status, reason, peer)
+        self.closing = True
+        request = self.arriving or self._new_request()
+        self.arriving, self.in_head = None, False
+        if request is self.current:  # its body was being streamed to a node, and will stay incomplete
+            request.error_status, request.keep_alive, active = status, False, request.active
+            if active is not None:
+                self.host.client_gone(active)
+            self.fail(request, status)
+            return
+        if request in self.queued:
+            self.queued.remove(request)
+        request.release_body()
+        request.error_status, request.keep_alive = status, False
+        if request.drop_body:
+            self.close()
+            return
+        self.queued.append(request)
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are under way, and files that are turned down."""
+"""Settings that change while requests are in progress, and configuration files that are rejected."""
 
 from __future__ import annotations
 
@@ -12,11 +12,21 @@
 
 import pytest
 
-from notchflow.interface import Effect, Fail, Limits, Outcome, Refuse, RequestClass, Retune, Send, Status
+from notchflow.interface import (
+    Effect,
+    Fail,
+    Limits,
+    Outcome,
+    Refuse,
+    RequestClass,
+    Send,
+    SettingsChanged,
+    Status,
+)
 from notchflow.net.config import ConfigError, load, reload
-from notchflow.net.process import on_hangup
-from notchflow.operations.shape import missing, shape_of
-from tests.helpers import LIMITS, ask, make_balancer, make_settings, sends
+from notchflow.net.process import on_sighup
+from notchflow.operations.key_paths import collect_key_paths, missing_key_paths
+from tests.helpers import LIMITS, make_balancer, make_request, make_settings, sends
 from tests.rig import Rig, Seen, answer, run, until
 
 CLASS = {"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 500, "Effect": "repeatable"}
@@ -43,7 +53,7 @@
     return data
 
 
-BROKEN = {
+FAULTY_FILES = {
     "empty": "",
     "cut off": json.dumps(FILE)[:-30],
     "a list": "[]",
@@ -64,7 +74,7 @@
 
 
 @pytest.fixture
-def written(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def config_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(FILE))
     monkeypatch.setenv("ROUTER_CONFIG", str(path))
@@ -73,16 +83,16 @@
     return path
 
 
-@pytest.mark.parametrize("fault", BROKEN)
-def test_a_broken_file_is_turned_down_whole_with_its_place(fault: str, written: Path) -> None:
+@pytest.mark.parametrize("fault", FAULTY_FILES)
+def test_a_faulty_file_is_rejected_as_a_whole_with_its_path(fault: str, config_file: Path) -> None:
     running = load(os.environ)
-    written.write_text(BROKEN[fault])
-    with pytest.raises(ConfigError, match=str(written)):
-        reload(os.environ, running.shape)
+    config_file.write_text(FAULTY_FILES[fault])
+    with pytest.raises(ConfigError, match=str(config_file)):
+        reload(os.environ, running.key_paths)
 
 
 @pytest.mark.parametrize(
-    ("given", "told"),
+    ("given", "expected"),
     [
         ({"listen": "here"}, "listen: expected host:port, got 'here'"),
         ({"discovery": 8500}, "discovery: expected host:port, got 8500"),
@@ -101,22 +111,26 @@
         (changed(Rules={"AskWithinMs": "x"}), "Rules.AskWithinMs: must be a finite number, not 'x'"),
     ],
 )
-def test_a_figure_that_cannot_be_is_told_by_its_name(given: dict[str, Any], told: str, written: Path) -> None:
-    written.write_text(json.dumps(FILE | given))
+def test_an_invalid_value_is_reported_by_its_name(
+    given: dict[str, Any], expected: str, config_file: Path
+) -> None:
+    config_file.write_text(json.dumps(FILE | given))
     with pytest.raises(ConfigError) as caught:
         load(os.environ)
-    assert str(caught.value).startswith(f"ROUTER_CONFIG: {written}: {told}")
+    assert str(caught.value).startswith(f"ROUTER_CONFIG: {config_file}: {expected}")
 
 
-def test_more_keys_and_classes_with_keys_of_their_own_are_whole() -> None:
-    shape = shape_of(changed(Classes=[CLASS | {"WindowMs": 5}, CLASS | {"Name": "b"}]))
-    assert missing(shape, changed(Classes=[CLASS])) == []
-    assert missing(shape, changed(Classes=[without(CLASS, "Name")])) == ["settings.Classes[].Name"]
-    assert missing(shape, FILE | {"more": 1}) == []
+def test_additional_keys_and_keys_of_single_classes_are_not_required() -> None:
+    running_paths = collect_key_paths(changed(Classes=[CLASS | {"WindowMs": 5}, CLASS | {"Name": "b"}]))
+    assert missing_key_paths(running_paths, changed(Classes=[CLASS])) == []
+    assert missing_key_paths(running_paths, changed(Classes=[without(CLASS, "Name")])) == [
+        "settings.Classes[].Name"
+    ]
+    assert missing_key_paths(running_paths, FILE | {"more": 1}) == []
 
 
-def test_a_hangup_takes_a_file_over_or_leaves_all_as_it_was(
-    written: Path, caplog: pytest.LogCaptureFixture
+def test_sighup_applies_a_file_or_changes_nothing(
+    config_file: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with Rig() as rig:
@@ -124,41 +138,41 @@
                 load(os.environ), listen=rig.host.config.listen, discovery=rig.host.config.discovery
             )
             before = rig.host.settings
-            for fault in BROKEN.values():
-                written.write_text(fault)
-                on_hangup(rig.host)
-            assert rig.host.settings is before and rig.host.figures.cfg_invalid == len(BROKEN)
+            for fault in FAULTY_FILES.values():
+                config_file.write_text(fault)
+                on_sighup(rig.host)
+            assert rig.host.settings is before and rig.host.metrics.cfg_invalid == len(FAULTY_FILES)
             assert (await rig.ask()).status == 200
-            written.write_text(
+            config_file.write_text(
                 json.dumps(
                     changed(Classes=[CLASS, CLASS | {"Name": "fresh"}])
                     | {"discovery": f"127.0.0.1:{rig.discovery.port}"}
                 )
             )
             assert (await rig.ask(x_call_class="fresh")).status == 503
-            on_hangup(rig.host)
-            assert rig.host.figures.cfg_accepted == 1
+            on_sighup(rig.host)
+            assert rig.host.metrics.cfg_accepted == 1
             assert (await rig.ask(x_call_class="fresh")).status == 200
-            assert (await rig.ask(x_call_class="keyed")).status == 503, "a class that has vanished"
-            assert 'priority="fresh",status="fulfilled"} 1' in rig.host.report()
+            assert (await rig.ask(x_call_class="keyed")).status == 503, "a class that was removed"
+            assert 'priority="fresh",status="fulfilled"} 1' in rig.host.metrics_text()
 
     with caplog.at_level(logging.ERROR):
         run(test())
-    assert len([r for r in caplog.records if r.name == "notchflow.net.process"]) == len(BROKEN)
+    assert len([r for r in caplog.records if r.name == "notchflow.net.process"]) == len(FAULTY_FILES)
 
 
-def test_a_time_that_only_connections_know_is_taken_over() -> None:
-    """Guards against a file that states nothing else anew: the module's settings are equal then."""
+def test_a_changed_idle_timeout_of_connections_is_applied() -> None:
+    """Guards against ignoring a file that changes nothing else: the policy's settings are equal then."""
 
     async def test() -> None:
         async with Rig() as rig:
             rig.host.reload(replace(rig.host.config, conn_idle_ms=2_000.0))
-            assert rig.host.idle_limit.stated_ms == rig.host.idle_limit.ms == 1_400.0
+            assert rig.host.idle_limit.configured_ms == rig.host.idle_limit.limit_ms == 1_400.0
 
     run(test())
 
 
-def test_a_request_under_way_keeps_its_class_when_that_vanishes() -> None:
+def test_a_request_in_progress_keeps_its_class_when_that_is_removed() -> None:
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
 
@@ -180,40 +194,40 @@
 
 
 def retune(balancer: Any, now: float, **changes: Any) -> None:
-    assert balancer.handle(now, Retune(make_settings(**changes))) == []
+    assert balancer.handle(now, SettingsChanged(make_settings(**changes))) == []
 
 
-def test_a_stricter_effect_binds_what_comes_later_alone() -> None:
+def test_a_stricter_effect_applies_to_later_requests_only() -> None:
     balancer = make_balancer()
-    first = sends(balancer.handle(10, ask(1, 10, "read")))[0]
+    first = sends(balancer.handle(10, make_request(1, 10, "read")))[0]
     retune(balancer, 20, classes=(RequestClass("read", 300, 1000, effect=Effect.UNSAFE),))
     again = balancer.handle(30, Outcome(1, 0, first.node, Status.RESET, 20))
-    assert isinstance(again[0], Send), "it was safe to repeat when it was taken"
-    later = sends(balancer.handle(40, ask(2, 40, "read")))[0]
+    assert isinstance(again[0], Send), "it was safe to repeat when it was accepted"
+    later = sends(balancer.handle(40, make_request(2, 40, "read")))[0]
     assert balancer.handle(50, Outcome(2, 0, later.node, Status.RESET, 10)) == [Fail(2)]
 
 
-def test_fewer_attempts_hold_at_once_and_more_for_later_ones() -> None:
+def test_fewer_attempts_apply_at_once_and_more_to_later_requests() -> None:
     balancer = make_balancer(limits=Limits(max_attempts=3))
-    first = sends(balancer.handle(10, ask(1, 10)))[0]
+    first = sends(balancer.handle(10, make_request(1, 10)))[0]
     retune(balancer, 20, limits=Limits(max_attempts=1))
     assert balancer.handle(30, Outcome(1, 0, first.node, Status.FULL, 20)) == [Refuse(1)]
-    second = sends(balancer.handle(40, ask(2, 40)))[0]
+    second = sends(balancer.handle(40, make_request(2, 40)))[0]
     retune(balancer, 50, limits=Limits(max_attempts=3))
     assert balancer.handle(60, Outcome(2, 0, second.node, Status.FULL, 20)) == [Refuse(2)]
-    third = sends(balancer.handle(70, ask(3, 70)))[0]
+    third = sends(balancer.handle(70, make_request(3, 70)))[0]
     assert isinstance(balancer.handle(80, Outcome(3, 0, third.node, Status.FULL, 10))[0], Send)
 
 
-def test_what_was_learned_stays() -> None:
+def test_learned_state_is_kept() -> None:
     balancer = make_balancer()
     for number in range(200):
-        send = sends(balancer.handle(number, ask(number, number)))[0]
+        send = sends(balancer.handle(number, make_request(number, number)))[0]
         balancer.handle(number + 0.5, Outcome(number, 0, send.node, Status.OK, 12.0, closed=True))
     node = next(iter(balancer.fleet.nodes.values()))
     node.ejected_until = 9_000.0
-    latency, order = dict(balancer.fleet.class_latency), balancer.fleet.order("aa")
+    latency, order = dict(balancer.fleet.class_latency_ms), balancer.fleet.order("aa")
     retune(balancer, 300, limits=LIMITS, classes=(*make_settings().classes, RequestClass("new", 100, 200)))
-    assert balancer.fleet.class_latency == latency and balancer.fleet.order("aa") == order
+    assert balancer.fleet.class_latency_ms == latency and balancer.fleet.order("aa") == order
     assert node.ejected_until == 9_000.0
-    assert sends(balancer.handle(301, ask(900, 301, "new")))
+    assert sends(balancer.handle(301, make_request(900, 301, "new")))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,7 +15,7 @@
 
 from notchflow.interface import RequestClass, Settings
 from notchflow.net.config import Config
-from notchflow.net.discovery import Listing, decode_listing
+from notchflow.net.discovery import NodeList, decode_node_list
 from notchflow.net.host import Host
 from notchflow.tenancy.door import TenantDoor
 from tests.helpers import make_settings
@@ -246,7 +246,7 @@
         members = self.members
         if members is None:
             members = [self.entry(i) for i in range(len(self.nodes))]
-        known: Listing = decode_listing({"revision": 41, "complete": True, "members": members})
+        known: NodeList = decode_node_list({"revision": 41, "complete": True, "members": members})
         config = Config(
             name="n0",
             listen=("127.0.0.1", 0),
@@ -260,10 +260,10 @@
         if self.door is not None:
             self.door.host = self.host
         self.host.start()
-        assert self.host.front.listener is not None
+        assert self.host.frontend.listener is not None
         if self.greets:
-            await until(self.host.informed)
-        self.port = self.host.front.listener.getsockname()[1]
+            await until(self.host.list_is_current)
+        self.port = self.host.frontend.listener.getsockname()[1]
         return self
 
     async def connect(self) -> Client:
@@ -296,7 +296,7 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, value: BaseException | None, trace: TracebackType | None
     ) -> None:
-        self.host.front.shut()
+        self.host.frontend.close_listener()
         self.host.timers.clear()
         for peer in (*self.nodes, self.discovery):
             peer.stop()
