--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -12,7 +12,7 @@
 from notchflow.net.config import Config
 from notchflow.net.host import Host
 from notchflow.net.node_list import NodeList
-from notchflow.tenancy import figures
+from notchflow.tenancy import metrics as tenant_metrics
 from notchflow.tenancy.door import TenantDoor
 
 GONE_KEPT_MS: Final = 60_000.0  # a node that is gone is still shown for so long
@@ -51,7 +51,7 @@
     def metrics_text(self) -> str:
         """The platform's figures, and those of tenants."""
         lines = [
-            *figures.lines(self.tenants.entries.values()),
+            *tenant_metrics.lines(self.tenants.entries.values()),
             *effect_lines(self.keeper),
             *(self.membership.lines() if self.membership is not None else ()),
         ]
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -107,10 +107,10 @@
         self.membership = self.host.membership = member
         member.changed.append(self._taking)
         self.directory.shared = member.limits
-        self.door.ready = lambda: member.ready(self.host.lifecycle.draining)
+        self.door.readiness_reply = lambda: member.ready(self.host.lifecycle.draining)
         if member.rules is not None:
             member.rules.on_applied = self._agreed
-            self.door.doubts = member.rules.rejection
+            self.door.check_rules = member.rules.rejection
         self._taking()
 
     def _rules(self) -> FleetRules | None:
@@ -144,7 +144,7 @@
 
     def _taking(self) -> None:
         assert self.membership is not None
-        self.door.outside = self.membership.turned_away()
+        self.door.unavailable_reply = self.membership.turned_away()
 
     def _remember(self) -> None:
         """The memory of effects, recovered. StoreError, ManifestError, Locked, OSError."""
@@ -211,7 +211,7 @@
 
     def _flush(self) -> None:
         self.flushing = self.loop.call_later(USED_EVERY_S, self._flush)
-        used = self.directory.take_used()
+        used = self.directory.take_key_uses()
         if used:
             self.admin.spawn(lambda: self.backend.read(self.db.note_used, used))
 
@@ -261,7 +261,7 @@
         )
         if self.membership is not None and self.membership.limits is not None:
             self.membership.limits.longest(self.host.longest_deadline_ms)
-        self.directory.redefine(
+        self.directory.set_defaults(
             file.tenants.limits.core(), [r.core() for r in file.tenants.routes], file.service.in_hand
         )
         self.operations.defaults = defaults(file)
@@ -315,7 +315,7 @@
             self.flushing.cancel()
         self.admin.stop()
         self.backend.thread.shutdown()
-        used = self.directory.take_used()
+        used = self.directory.take_key_uses()
         if used:
             self.db.note_used(used)
         if self.committer is not None:
--- a/notchflow/hosting/shared_limits.py
+++ b/notchflow/hosting/shared_limits.py
@@ -108,7 +108,7 @@
     def bucket(self, tenant: str) -> SharedBucket:
         return SharedBucket(self, tenant)
 
-    def know(self, tenant: str, limits: Limits) -> None:
+    def set_limits(self, tenant: str, limits: Limits) -> None:
         """A tenant's limits from now on: others may ask for its tokens before anybody asks here."""
         self.core.set_limit(tenant, self.edge.now(), limits.rate_per_s, limits.burst)
         self.holds.set_limit(tenant, limits.in_hand)
@@ -120,7 +120,7 @@
         self.usages.pop(tenant, None)
         self.touched.pop(tenant, None)
 
-    def watch(self, tenant: str, usage: Usage) -> None:
+    def register_usage(self, tenant: str, usage: Usage) -> None:
         """Whose figures these are."""
         self.usages[tenant] = usage
         if usage.slots is None:
--- a/notchflow/tenancy/__init__.py
+++ b/notchflow/tenancy/__init__.py
@@ -1,5 +1,5 @@
-"""Many tenants behind one door: who asks, for what, and how much of it is theirs.
+"""Multi-tenancy: authentication, routing, limits and admission of tenants' requests.
 
-Every module here but `door` is free of I/O and of a clock: times come in as Unix seconds, and what a change
-of state calls for goes out as a return value or through a callback.
+Every module here but `door` is free of I/O and of a clock: times are passed in, and the effects of a state
+change are returned or reported through a callback.
 """
--- a/notchflow/tenancy/directory.py
+++ b/notchflow/tenancy/directory.py
@@ -1,4 +1,4 @@
-"""The tenants as one proxy knows them: found by key, held to their limits, drained when they retire."""
+"""The tenants known to one proxy: authentication by API key, admission by limits, and retirement."""
 
 from __future__ import annotations
 
@@ -8,56 +8,61 @@
 from typing import Final, Protocol
 
 from notchflow.tenancy.keys import KEY, matches, public_id
-from notchflow.tenancy.limits import Reason, Refusal, Shares, Takes, Usage
+from notchflow.tenancy.limits import Reason, Refusal, Shares, TokenSource, Usage
 from notchflow.tenancy.model import ApiKey, Limits, Route, Tenant, TenantState
 from notchflow.tenancy.routes import Router
 
-USED_STEP_S: Final = 60.0  # a key's last use is known to the minute: at most one write a key and minute
-NO_KEY: Final = bytes(32)  # compared against where no key has the id, so that an answer's time tells nothing
+LAST_USE_RESOLUTION_S: Final = 60.0  # of a key's last use, to limit writes to one per key and minute
+# Compared against for an unknown key ID, so that response times do not reveal whether the ID exists.
+DUMMY_DIGEST: Final = bytes(32)
 
 
 class Denied(Enum):
-    """Why nobody is behind a key."""
+    """Why authentication failed."""
 
     MISSING = "missing"
-    UNKNOWN = "unknown"  # also revoked, expired, or of a tenant that is gone: the caller is not told which
+    UNKNOWN = "unknown"  # also revoked, expired, or of a tenant that is gone; clients cannot tell which
 
 
 class Entry:
-    """One tenant here: its value, what follows from it, and what it has in hand."""
+    """A tenant with its effective limits and routes, and its usage."""
 
-    __slots__ = ("tenant", "limits", "router", "usage", "space", "caller")
+    __slots__ = ("tenant", "limits", "router", "usage", "key_prefix", "id_bytes")
 
     def __init__(self, tenant: Tenant, limits: Limits, router: Router, usage: Usage) -> None:
         self.tenant, self.limits, self.router, self.usage = tenant, limits, router, usage
-        self.space = tenant.id + "/"  # begins each of its keys; no id holds a slash, so none begins another's
-        self.caller = tenant.id.encode()
+        self.key_prefix = (
+            tenant.id + "/"
+        )  # prefix of its keys; IDs hold no slash, so no prefix begins another
+        self.id_bytes = tenant.id.encode()
 
 
-class Shared(Protocol):
-    """The fleet's side of tenants' limits, where there is a fleet."""
+class FleetLimits(Protocol):
+    """Limits that the instances of a fleet enforce together."""
 
-    def bucket(self, tenant: str) -> Takes:
-        """What a tenant's rate is taken from."""
+    def bucket(self, tenant: str) -> TokenSource:
+        """The source of a tenant's rate tokens."""
 
-    def know(self, tenant: str, limits: Limits) -> None:
-        """Its limits from now on."""
+    def set_limits(self, tenant: str, limits: Limits) -> None:
+        """Sets a tenant's limits."""
 
-    def watch(self, tenant: str, usage: Usage) -> None:
-        """What it has in hand here, and what became of its requests."""
+    def register_usage(self, tenant: str, usage: Usage) -> None:
+        """Registers a tenant's usage at this instance, to be reported to the others."""
 
-    def forget(self, tenant: str) -> None: ...
+    def forget(self, tenant: str) -> None:
+        """Removes a tenant."""
+        ...
 
 
 class Directory:
-    """All tenants of one proxy. Changes come whole, as the new value of a tenant or of a key."""
+    """All tenants of one proxy. A change replaces the whole value of a tenant or of a key."""
 
     def __init__(
         self,
         limits: Limits,
         routes: Iterable[Route],
         capacity: int,
-        drained: Callable[[str], None] = lambda tenant: None,
+        on_drained: Callable[[str], None] = lambda tenant: None,
     ) -> None:
         self.limits = limits
         self.routes = tuple(routes)
@@ -65,14 +70,14 @@
         self.shares = Shares(capacity)
         self.entries: dict[str, Entry] = {}
         self.keys: dict[str, ApiKey] = {}
-        self.used: dict[str, float] = {}  # key id -> when it was used, since the last `take_used`
-        self.noted: dict[str, float] = {}  # key id -> when its use was last noted there
-        self.shared: Shared | None = None  # set before the first tenant
-        self.drained = drained  # told once that a retiring tenant has nothing in hand any more
+        self.key_uses: dict[str, float] = {}  # key ID -> Unix time of use, since the last `take_key_uses`
+        self.use_recorded_at: dict[str, float] = {}  # key ID -> Unix time of the last use entered in `used`
+        self.shared: FleetLimits | None = None  # set before the first tenant
+        self.on_drained = on_drained  # called once a retiring tenant has no request in hand any more
 
     # -- changes
     def put(self, tenant: Tenant, now: float) -> None:
-        """Takes over a tenant's new value; an older one than is known changes nothing."""
+        """Sets a tenant's value; a version older than the known one is ignored. `now`: monotonic seconds."""
         entry = self.entries.get(tenant.id)
         if entry is not None and tenant.version < entry.tenant.version:
             return
@@ -84,22 +89,22 @@
         else:
             entry.tenant, entry.limits, entry.router = tenant, limits, router
         if self.shared is not None:
-            self.shared.know(tenant.id, limits)
-            self.shared.watch(tenant.id, entry.usage)
+            self.shared.set_limits(tenant.id, limits)
+            self.shared.register_usage(tenant.id, entry.usage)
         if tenant.state is TenantState.GONE:
             self._forget(entry)
         elif tenant.state is TenantState.RETIRING and not entry.usage.in_hand:
-            self.drained(tenant.id)
+            self.on_drained(tenant.id)
 
     def replace(self, tenants: Iterable[Tenant], keys: Iterable[ApiKey], now: float) -> None:
-        """All tenants and all live keys anew. What a tenant that stays has in hand and has used, stays."""
+        """Replaces all tenants and all live keys. Tenants that remain keep their usage."""
         fresh = {tenant.id: tenant for tenant in tenants}
         for name in self.entries.keys() - fresh.keys():
             self._forget(self.entries[name])
         for tenant in fresh.values():
             entry = self.entries.get(tenant.id)
             if entry is not None and tenant.version < entry.tenant.version:
-                entry.tenant = tenant  # of another line of versions
+                entry.tenant = tenant  # versions of another history may be lower
             self.put(tenant, now)
         self.keys = {key.id: key for key in keys if key.revoked_at is None}
 
@@ -109,77 +114,82 @@
             self.shared.forget(entry.tenant.id)
         for key in [k for k in self.keys.values() if k.tenant == entry.tenant.id]:
             del self.keys[key.id]
-            self.noted.pop(key.id, None)
+            self.use_recorded_at.pop(key.id, None)
 
     def put_key(self, key: ApiKey) -> None:
-        """Takes over a key's new value. One that is revoked is dropped: requests in hand go on."""
+        """Sets a key's value. A revoked key is removed; requests in hand continue."""
         if key.revoked_at is not None:
             self.keys.pop(key.id, None)
-            self.noted.pop(key.id, None)
+            self.use_recorded_at.pop(key.id, None)
         else:
             self.keys[key.id] = key
 
-    def redefine(self, limits: Limits, routes: Iterable[Route], capacity: int) -> None:
-        """New defaults: they hold at once for every tenant that has none of its own."""
+    def set_defaults(self, limits: Limits, routes: Iterable[Route], capacity: int) -> None:
+        """Sets the defaults, at once for every tenant without limits or routes of its own."""
         self.limits, self.routes, self.shares.capacity = limits, tuple(routes), capacity
         self.router = Router(self.routes)
         for entry in self.entries.values():
             entry.limits = entry.tenant.limits or limits
             if self.shared is not None:
-                self.shared.know(entry.tenant.id, entry.limits)
+                self.shared.set_limits(entry.tenant.id, entry.limits)
             if entry.tenant.routes is None:
                 entry.router = self.router
 
-    # -- a request
+    # -- requests
     def authenticate(self, token: str | None, now: float) -> Entry | Denied:
-        """Whose key this is. Every token, known or not, costs one digest and one comparison."""
+        """Finds the tenant of an API key; `now` is Unix time. Each token, known or not, costs one digest and
+        one comparison."""
         if token is None:
             return Denied.MISSING
-        public = public_id(token, KEY)
-        key = self.keys.get(public) if public is not None else None
-        same = matches(token, key.digest if key is not None else NO_KEY)
-        entry = self.entries.get(key.tenant) if key is not None and same and key.usable(now) else None
+        key_id = public_id(token, KEY)
+        key = self.keys.get(key_id) if key_id is not None else None
+        digest_matches = matches(token, key.digest if key is not None else DUMMY_DIGEST)
+        entry = (
+            self.entries.get(key.tenant) if key is not None and digest_matches and key.usable(now) else None
+        )
         if entry is None or key is None:
             return Denied.UNKNOWN
-        if now - self.noted.get(key.id, 0.0) >= USED_STEP_S:
-            self.used[key.id] = self.noted[key.id] = now
+        if now - self.use_recorded_at.get(key.id, 0.0) >= LAST_USE_RESOLUTION_S:
+            self.key_uses[key.id] = self.use_recorded_at[key.id] = now
         return entry
 
     def admit(self, entry: Entry, now: float, pressure: float) -> Refusal | None:
+        """Counts a request in, or returns why it is rejected (see `Shares.admit`)."""
         return self.shares.admit(entry.usage, entry.limits, now, pressure)
 
     def charge(self, entry: Entry, size: int) -> bool:
-        """Counts bytes held for a tenant; false, and not counted, where that is over its limit."""
+        """Counts bytes held for a tenant; returns False, and counts nothing, if that exceeds its limit."""
         if entry.usage.bytes + size > entry.limits.bytes_held:
             return False
         entry.usage.bytes += size
         return True
 
-    def over(self, entry: Entry, held_s: float, status: int) -> None:
-        """A request that was admitted is over: answered with this status, or 0 where its client left."""
+    def finish(self, entry: Entry, in_hand_s: float, status: int) -> None:
+        """Counts out an admitted request that was answered with this status; 0: its client left."""
         usage = entry.usage
-        self.shares.release(usage, held_s)
+        self.shares.release(usage, in_hand_s)
         if status == 200:
             usage.served += 1
         elif status == 503:
-            usage.turned_away("module")
+            usage.count_rejection("module")
         elif status:
             usage.failed += 1
         if not usage.in_hand and entry.tenant.state is TenantState.RETIRING:
-            self.drained(entry.tenant.id)
+            self.on_drained(entry.tenant.id)
 
-    def too_many_bytes(self, entry: Entry) -> Refusal:
+    def reject_body(self, entry: Entry) -> Refusal:
+        """Counts and returns the rejection of a request whose body exceeds the tenant's `bytes_held`."""
         entry.usage.asked += 1
-        entry.usage.turned_away(Reason.BYTES.value)
-        return Refusal(Reason.BYTES, max(entry.usage.held_s, 1.0))
+        entry.usage.count_rejection(Reason.BYTES.value)
+        return Refusal(Reason.BYTES, max(entry.usage.mean_in_hand_s, 1.0))
 
-    # -- what is told
-    def take_used(self) -> dict[str, float]:
-        """Which keys were used since the last call, and when, to the minute."""
-        used, self.used = self.used, {}
+    # -- reporting
+    def take_key_uses(self) -> dict[str, float]:
+        """The keys used since the last call and their times of use (Unix seconds, to the minute)."""
+        used, self.key_uses = self.key_uses, {}
         return used
 
 
 def retired(tenant: Tenant, now: float) -> Tenant:
-    """The last value of a tenant that has drained."""
+    """The final value of a tenant that has drained."""
     return replace(tenant, state=TenantState.GONE, version=tenant.version + 1, changed_at=now)
--- a/notchflow/tenancy/door.py
+++ b/notchflow/tenancy/door.py
@@ -1,8 +1,8 @@
-"""The hosted door: between a client's connection and the host, by what the directory says.
+"""Admission of tenants' requests: authenticates, routes, limits and rewrites them before they are dispatched.
 
-What goes on to a box is built here from what was decided, and not copied from what came: the path in normal
-form below the tenant's own space, an id of ours, the tenant's name, and an idempotency key that no other
-tenant's can equal.
+The request that a node receives is built from the decisions made here, not copied from the client's: the path
+is in normal form and below the tenant's own prefix, the request ID is assigned here, the tenant is named, and
+the idempotency key is prefixed so that keys of different tenants never collide.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from notchflow.tenancy.problems import reply
 from notchflow.tenancy.routes import Match
 
-READY: Final = b"/health/ready"
-BEARER: Final = re.compile(rb"[Bb][Ee][Aa][Rr][Ee][Rr] +([A-Za-z0-9._~+/=-]{1,200})")
-IDEMPOTENCY: Final = re.compile(rb"[\x21-\x7e]{1,200}")
-# Never passed on: credentials, what only the proxy may say of a request, and what is written anew. A client
-# that sends a forged X-Caller or X-Call-Id changes nothing.
-OURS: Final = frozenset(
+READINESS_PATH: Final = b"/health/ready"
+BEARER_CREDENTIALS: Final = re.compile(rb"[Bb][Ee][Aa][Rr][Ee][Rr] +([A-Za-z0-9._~+/=-]{1,200})")
+IDEMPOTENCY_KEY: Final = re.compile(rb"[\x21-\x7e]{1,200}")
+# Header fields that are never forwarded: credentials, fields that only the proxy may set, and fields that
+# `_rewrite_head` sets again. A client cannot forge X-Caller or X-Call-Id.
+NEVER_FORWARDED: Final = frozenset(
     {
         b"authorization",
         b"x-api-key",
@@ -53,20 +53,21 @@
         b"content-length",
     }
 )
-WRITES_BODY: Final = frozenset({b"PUT", b"POST", b"PATCH"})
-FAILURES: Final = {
+METHODS_WITH_BODY: Final = frozenset({b"PUT", b"POST", b"PATCH"})
+PROBLEM_KINDS: Final = {
     400: "bad-request",
     408: "bad-request",
     413: "too-large",
     431: "too-large",
     501: "not-implemented",
 }
-MODULE_RETRY_S: Final = 1.0  # the module's pressure halves in less; it says no time of its own
-OWN_SPACE: Final = "/t/"
+# Retry-After of requests that the policy sheds without a time of its own; its pressure halves in less.
+SHED_RETRY_AFTER_S: Final = 1.0
+TENANT_PATH_PREFIX: Final = "/t/"
 
 
-class Receiver(Protocol):
-    """The host, as far as the door needs it."""
+class RequestHost(Protocol):
+    """The host that dispatches admitted requests."""
 
     def start_request(
         self,
@@ -80,31 +81,40 @@
         retry: bool = False,
         write: bool = False,
         earlier: float | None = None,
-    ) -> None: ...
+    ) -> None:
+        """Dispatches a request whose body is complete."""
+        ...
 
 
-class Guarded(Protocol):
-    """A request whose effects are remembered, as far as its ticket needs it."""
+class TrackedRequest(Protocol):
+    """A request with an idempotency key, tracked by the effect memory."""
 
     def begin(self, call: ClientRequest, cls: str) -> LocalReply | None:
-        """Hands the request on, now or later, or says why not."""
+        """Forwards the request, now or later, or returns the reply that answers it instead."""
 
-    def ended(self, status: int, ran: bool) -> None: ...
+    def ended(self, status: int, ran: bool) -> None:
+        """Records the final status and whether the request may have run."""
+        ...
 
 
-class Remembers(Protocol):
-    """The memory of effects, as far as the door needs it."""
+class EffectMemory(Protocol):
+    """The memory of effects, which deduplicates requests by idempotency key."""
 
     def guard(
         self, call: ClientRequest, cls: str, key: bytes, busy: LocalReply, go: Callable[[float | None], None]
-    ) -> Guarded | None:
-        """For a request with an idempotency key; none where the class needs none. `go` hands it on."""
+    ) -> TrackedRequest | None:
+        """Tracks a request with an idempotency key, or returns None if its class needs no tracking.
+
+        `go` forwards the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Face:
-    """What the door is set to: where boxes expect a tenant's space, the Host that they are sent, the longest
-    body (bytes), and each class's effect."""
+    """Admission settings.
+
+    prefix: path prefix of all tenants at the nodes; host: Host header sent to nodes; body_max: maximum body
+    size in bytes; effects: effect of each request class.
+    """
 
     prefix: str = "/api"
     host: bytes = b"notchflow.internal"
@@ -113,53 +123,66 @@
 
 
 class Ticket:
-    """One request of a tenant's, from the end of its head to its answer."""
-
-    __slots__ = ("door", "entry", "match", "target", "since", "size", "over", "guard")
+    """A tenant's request from the end of its head to its response (see `notchflow.net.exchange.Ticket`)."""
+
+    __slots__ = (
+        "door",
+        "entry",
+        "match",
+        "target",
+        "admitted_at",
+        "charged_bytes",
+        "over_limit",
+        "tracked_request",
+    )
 
     def __init__(self, door: TenantDoor, entry: Entry, match: Match, target: Target) -> None:
         self.door, self.entry, self.match, self.target = door, entry, match, target
-        self.since = 0.0  # when it was admitted; 0: it was not
-        self.size = 0  # bytes charged to the tenant
-        self.over = False  # its body is more than the tenant may hold
-        self.guard: Guarded | None = None
+        self.admitted_at = 0.0  # monotonic seconds; 0: not admitted
+        self.charged_bytes = 0  # body bytes counted against the tenant's `bytes_held`
+        self.over_limit = False  # the body would exceed the tenant's `bytes_held`
+        self.tracked_request: TrackedRequest | None = None
 
     def charge(self, size: int) -> bool:
+        """Charges body bytes to the tenant; False if that would exceed its limit."""
         if not self.door.directory.charge(self.entry, size):
-            self.over = True
+            self.over_limit = True
             return False
-        self.size += size
+        self.charged_bytes += size
         return True
 
     def done(self, status: int, ran: bool) -> None:
-        guard, self.guard = self.guard, None
-        if guard is not None:
-            guard.ended(status, ran)
-        self.entry.usage.bytes -= self.size
-        if self.since:
-            self.door.directory.over(self.entry, max(time.monotonic() - self.since, 0.0), status)
+        """Releases what the request holds. `status` 0: the client left; `ran`: it may have run."""
+        tracked, self.tracked_request = self.tracked_request, None
+        if tracked is not None:
+            tracked.ended(status, ran)
+        self.entry.usage.bytes -= self.charged_bytes
+        if self.admitted_at:
+            self.door.directory.finish(self.entry, max(time.monotonic() - self.admitted_at, 0.0), status)
 
 
 class TenantDoor:
-    """The door of the hosted service (see `notchflow.net.exchange.Gateway`)."""
+    """The gateway of the hosted service (see `notchflow.net.exchange.Gateway`)."""
 
     def __init__(
         self,
         directory: Directory,
         face: Face,
         pressure: Callable[[], float],
-        run: bytes,
-        wall: Callable[[], float] = time.time,
+        run_id: bytes,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.directory, self.face, self.pressure, self.wall = directory, face, pressure, wall
-        self.host: Receiver | None = None
-        self.memory: Remembers | None = None
-        self.outside: LocalReply | None = None  # what all are told while this instance may take nothing
-        self.doubts: Callable[[], LocalReply | None] | None = None  # whether the rules here may be acted on
-        self.ready: Callable[[], LocalReply] | None = (
-            None  # a readiness check's answer, in place of the host's
-        )
-        self.run, self.number = run, 0  # ids: 8 digits of this run of the process, 8 of the request
+        self.directory, self.face, self.pressure, self.wall_clock = directory, face, pressure, wall_clock
+        self.host: RequestHost | None = None
+        self.memory: EffectMemory | None = None
+        # Rejects every request while this instance may accept none.
+        self.unavailable_reply: LocalReply | None = None
+        # Rejects every request while the rules here may be stale.
+        self.check_rules: Callable[[], LocalReply | None] | None = None
+        # Answers readiness checks in place of the host.
+        self.readiness_reply: Callable[[], LocalReply] | None = None
+        # A request ID has 8 hexadecimal digits for this run of the process and 8 for the request.
+        self.run_id, self.last_number = run_id, 0
         self.suspended = reply(403, "tenant-suspended", "The operator has suspended this tenant.")
         self.retiring = reply(403, "tenant-retiring", "What is in hand is answered; nothing new is taken.")
         challenge = (b'WWW-Authenticate: Bearer realm="notchflow"\r\n',)
@@ -169,35 +192,36 @@
             ),
             Denied.UNKNOWN: reply(401, "key-unknown", fields=challenge),
         }
-        self.nothing = reply(404, "no-route")
-        self.hostless = reply(400, "host-required")
-        self.busy = reply(503, "refused", "Nothing was done: trying again is harmless.", MODULE_RETRY_S)
+        self.not_found = reply(404, "no-route")
+        self.host_required = reply(400, "host-required")
+        self.busy = reply(503, "refused", "Nothing was done: trying again is harmless.", SHED_RETRY_AFTER_S)
 
-    # -- the head has come
+    # -- request head
     def head(self, call: ClientRequest) -> None:
-        if call.url == READY:
-            call.local_reply = self.ready() if self.ready is not None else None
+        """Authenticates and routes a request by its head; sets its ticket, or the reply that rejects it."""
+        if call.url == READINESS_PATH:
+            call.local_reply = self.readiness_reply() if self.readiness_reply is not None else None
             return
-        call.local_reply = self._closed()
+        call.local_reply = self._unavailable()
         if call.local_reply is not None:
             return
-        found = self._judge(call)
-        if isinstance(found, LocalReply):
-            call.local_reply = found
+        outcome = self._authorize(call)
+        if isinstance(outcome, LocalReply):
+            call.local_reply = outcome
         else:
-            call.ticket = found
+            call.ticket = outcome
 
-    def _closed(self) -> LocalReply | None:
-        """What all are told while nothing may be taken here."""
-        if self.outside is not None:
-            return self.outside
-        return self.doubts() if self.doubts is not None else None
+    def _unavailable(self) -> LocalReply | None:
+        """The reply to every request while this instance may accept none, else None."""
+        if self.unavailable_reply is not None:
+            return self.unavailable_reply
+        return self.check_rules() if self.check_rules is not None else None
 
-    def _judge(self, call: ClientRequest) -> Ticket | LocalReply:
+    def _authorize(self, call: ClientRequest) -> Ticket | LocalReply:
         host = call.headers.get(b"host")
         if host is None or HOST.fullmatch(host) is None:
-            return self.hostless
-        entry = self.directory.authenticate(_token(call.forwarded_headers), self.wall())
+            return self.host_required
+        entry = self.directory.authenticate(_api_key(call.forwarded_headers), self.wall_clock())
         if isinstance(entry, Denied):
             return self.denied[entry]
         try:
@@ -205,23 +229,24 @@
         except PathFault as error:
             return reply(400, "path-ambiguous", f"{error}.")
         path = target.path
-        if path.startswith(OWN_SPACE):  # the long form, /t/<tenant>/...: any other tenant's is not there
-            own = OWN_SPACE + entry.space
-            if not path.startswith(own):
-                return self.nothing
-            path = path[len(own) - 1 :]
+        # The long form, /t/<tenant>/...: paths of other tenants do not exist.
+        if path.startswith(TENANT_PATH_PREFIX):
+            prefix = TENANT_PATH_PREFIX + entry.key_prefix
+            if not path.startswith(prefix):
+                return self.not_found
+            path = path[len(prefix) - 1 :]
             target = Target(path, target.query)
         match = entry.router.match(call.method.decode("ascii"), path)
         if isinstance(match, frozenset):
             if not match:
-                return self.nothing
+                return self.not_found
             allow = ", ".join(sorted(match))
             return reply(
                 405, "method-not-allowed", f"Allowed: {allow}.", fields=(b"Allow: %b\r\n" % allow.encode(),)
             )
-        return self._allowed(call, entry, match, target)
+        return self._check_request(call, entry, match, target)
 
-    def _allowed(
+    def _check_request(
         self, call: ClientRequest, entry: Entry, match: Match, target: Target
     ) -> Ticket | LocalReply:
         if entry.tenant.state is not TenantState.ACTIVE:
@@ -230,111 +255,118 @@
         if length is not None and int(length) > self.face.body_max:
             return self._too_large()
         key = call.headers.get(b"idempotency-key")
-        if key is not None and IDEMPOTENCY.fullmatch(key) is None:
+        if key is not None and IDEMPOTENCY_KEY.fullmatch(key) is None:
             return reply(400, "bad-request", "Idempotency-Key has 1 to 200 visible ASCII characters.")
         keyed = self.face.effects is not None and self.face.effects.get(match.route.cls) is Effect.KEYED
-        if (keyed or match.route.key_required) and key is None:  # a repeat could not be known for one
+        if (keyed or match.route.key_required) and key is None:  # a repeat could not be recognised
             return reply(400, "idempotency-key-required", f"Class {match.route.cls} is known by its key.")
         return Ticket(self, entry, match, target)
 
     def _too_large(self) -> LocalReply:
         return reply(413, "too-large", f"A body has at most {self.face.body_max} bytes.")
 
-    # -- the request is whole
+    # -- complete request
     def begin(self, call: ClientRequest) -> LocalReply | None:
+        """Admits and forwards a request whose body is complete, or returns the reply that rejects it."""
         ticket, host = call.ticket, self.host
         if not isinstance(ticket, Ticket) or host is None:
-            return self.nothing
-        closed = self._closed()  # a process that was stopped finds that its leave is over here
-        if closed is not None:
-            return closed
+            return self.not_found
+        unavailable = self._unavailable()  # a process resumed after SIGSTOP may have lost its right to accept
+        if unavailable is not None:
+            return unavailable
         entry = ticket.entry
-        if entry.tenant.state is not TenantState.ACTIVE:  # it may have changed while the body came
+        if entry.tenant.state is not TenantState.ACTIVE:  # may have changed while the body was received
             return self.suspended if entry.tenant.state is TenantState.SUSPENDED else self.retiring
         if call.body_size > self.face.body_max:
             return self._too_large()
-        if call.body_not_held and not ticket.over:
-            return self.busy  # the proxy's own memory is short
+        if call.body_not_held and not ticket.over_limit:
+            return self.busy  # the proxy's own buffer limit, not the tenant's
         if call.body_not_held:
-            return _refusal(self.directory.too_many_bytes(entry))
+            return _limit_reply(self.directory.reject_body(entry))
         refusal = self.directory.admit(entry, time.monotonic(), self.pressure())
         if refusal is not None:
-            return _refusal(refusal)
-        ticket.since = time.monotonic()
+            return _limit_reply(refusal)
+        ticket.admitted_at = time.monotonic()
         key, cls = call.headers.get(b"idempotency-key"), ticket.match.route.cls
         if self.memory is not None and key is not None:
-            go = partial(self._hand_on, call, ticket)
-            ticket.guard = self.memory.guard(call, cls, b"%b/%b" % (entry.caller, key), self.busy, go)
-        if ticket.guard is not None:
-            return ticket.guard.begin(call, cls)
-        self._hand_on(call, ticket, None)
+            go = partial(self._forward, call, ticket)
+            ticket.tracked_request = self.memory.guard(
+                call, cls, b"%b/%b" % (entry.id_bytes, key), self.busy, go
+            )
+        if ticket.tracked_request is not None:
+            return ticket.tracked_request.begin(call, cls)
+        self._forward(call, ticket, None)
         return None
 
-    def _hand_on(self, call: ClientRequest, ticket: Ticket, earlier: float | None) -> None:
-        """`earlier`: so many milliseconds ago a request under the same key may first have run."""
+    def _forward(self, call: ClientRequest, ticket: Ticket, earlier: float | None) -> None:
+        """`earlier`: how many milliseconds ago a request under the same key may first have run."""
         assert self.host is not None
         entry = ticket.entry
-        self._rewrite(call, ticket)
+        self._rewrite_head(call, ticket)
         self.host.start_request(
             call,
             ticket.match.route.cls,
             None,
-            key=entry.space + ticket.match.key,
+            key=entry.key_prefix + ticket.match.key,
             tenant=entry.tenant.id,
             write=call.method != b"GET",
             earlier=earlier,
         )
 
-    def _rewrite(self, call: ClientRequest, ticket: Ticket) -> None:
-        self.number += 1
+    def _rewrite_head(self, call: ClientRequest, ticket: Ticket) -> None:
+        self.last_number += 1
         entry, target = ticket.entry, ticket.target
         query = b"" if target.query is None else b"?" + target.query
-        call.url = b"%b/%b%b%b" % (self.face.prefix.encode(), entry.caller, target.path.encode(), query)
-        passed = [line for line in call.forwarded_headers if line[: line.index(b":")].lower() not in OURS]
-        passed.append(
+        call.url = b"%b/%b%b%b" % (self.face.prefix.encode(), entry.id_bytes, target.path.encode(), query)
+        headers = [
+            line for line in call.forwarded_headers if line[: line.index(b":")].lower() not in NEVER_FORWARDED
+        ]
+        headers.append(
             b"Host: %b\r\nX-Call-Id: %b%08x\r\nX-Call-Class: %b\r\nX-Caller: %b\r\n"
             % (
                 self.face.host,
-                self.run,
-                self.number & 0xFFFFFFFF,
+                self.run_id,
+                self.last_number & 0xFFFFFFFF,
                 ticket.match.route.cls.encode(),
-                entry.caller,
+                entry.id_bytes,
             )
         )
         key = call.headers.get(b"idempotency-key")
         if key is not None:
-            passed.append(b"Idempotency-Key: %b/%b\r\n" % (entry.caller, key))
-        if call.body_size or call.method in WRITES_BODY:
-            passed.append(b"Content-Length: %d\r\n" % call.body_size)
-        call.forwarded_headers = passed
+            headers.append(b"Idempotency-Key: %b/%b\r\n" % (entry.id_bytes, key))
+        if call.body_size or call.method in METHODS_WITH_BODY:
+            headers.append(b"Content-Length: %d\r\n" % call.body_size)
+        call.forwarded_headers = headers
 
-    # -- the module's answers
+    # -- replies to requests that the policy sheds or that fail
     def refused(self, retry_after_ms: float) -> LocalReply:
+        """The reply to a request that the policy sheds."""
         if retry_after_ms <= 0:
             return self.busy
         return reply(503, "refused", "Nothing was done: trying again is harmless.", retry_after_ms / 1e3)
 
     def failed(self, status: int) -> LocalReply:
-        return reply(status, FAILURES.get(status, "failed"))
+        """The reply to a request that failed with this status."""
+        return reply(status, PROBLEM_KINDS.get(status, "failed"))
 
 
-def _token(passed: list[bytes]) -> str | None:
-    """The API key of a request: two different ones are none."""
-    found: set[bytes] = set()
-    for line in passed:
+def _api_key(headers: list[bytes]) -> str | None:
+    """The API key of a request; None if there is none, "" (no valid token) if it sends two different ones."""
+    tokens: set[bytes] = set()
+    for line in headers:
         name, _, value = line.partition(b":")
-        low = name.lower()
-        if low == b"authorization":
-            bearer = BEARER.fullmatch(value.strip())
-            found.add(bearer[1] if bearer is not None else b"")
-        elif low == b"x-api-key":
-            found.add(value.strip())
-    if not found:
+        lower_name = name.lower()
+        if lower_name == b"authorization":
+            bearer = BEARER_CREDENTIALS.fullmatch(value.strip())
+            tokens.add(bearer[1] if bearer is not None else b"")
+        elif lower_name == b"x-api-key":
+            tokens.add(value.strip())
+    if not tokens:
         return None
-    return found.pop().decode("latin-1") if len(found) == 1 else ""
+    return tokens.pop().decode("latin-1") if len(tokens) == 1 else ""
 
 
-def _refusal(refusal: Refusal) -> LocalReply:
+def _limit_reply(refusal: Refusal) -> LocalReply:
     return reply(
         429,
         "limit",
--- a/notchflow/tenancy/limits.py
+++ b/notchflow/tenancy/limits.py
@@ -1,7 +1,7 @@
-"""Limits: a bucket for the rate, counts for what is in hand, and a fair part of the proxy under pressure.
+"""Tenant limits: a token bucket for the rate, counts of requests in hand, and fair shares under pressure.
 
-Every refusal says when to come back. What it says is meant: clients that are turned away for the rate get
-times one after the other, as fast as the bucket fills, and not all the same one.
+Every rejection carries a retry time. For the rate limit these times are spaced as the bucket refills, so that
+rejected clients do not all return at the same moment.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from notchflow.tenancy.model import Limits
 
-PROMISE_MAX_S: Final = 30.0  # no client is told to wait longer: by then the tenant's limit may be another
-PRESSURE_AT: Final = 0.8  # of the capacity in hand: from here on tenants are held to their parts
-HELD_SMOOTH: Final = 0.05  # weight of one request in the mean time in hand
-ROUNDING: Final = 1e-6  # of a token: who comes back exactly when told must not fail by a rounding error
-WAIT_MIN_S: Final = 1.0  # Retry-After is in whole seconds (RFC 9110 section 10.2.3)
+MAX_RETRY_AFTER_S: Final = 30.0  # the tenant's limits may change within a longer wait
+FULL_SHARE: Final = 0.8  # share of the capacity in hand from which tenants are held to their fair shares
+IN_HAND_SMOOTHING: Final = 0.05  # weight of one request in the mean time in hand
+TOKEN_TOLERANCE: Final = 1e-6  # a client that returns exactly on time must not fail by a rounding error
+MIN_RETRY_AFTER_S: Final = 1.0  # Retry-After is in whole seconds (RFC 9110 section 10.2.3)
 
 
 class Reason(Enum):
-    """Why a tenant's request is turned away."""
+    """Why a tenant's request is rejected."""
 
     RATE = "rate"
     IN_HAND = "in-hand"
@@ -31,63 +31,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request turned away, and in how many seconds it is worth trying again."""
+    """A rejection: its reason, and after how many seconds to retry."""
 
     reason: Reason
     retry_after_s: float
 
 
 class Bucket:
-    """A token bucket that also remembers what it has promised to those it turned away."""
+    """A token bucket that spaces the retry times of the requests that it rejects."""
 
-    __slots__ = ("level", "at", "promised")
+    __slots__ = ("tokens", "updated_at", "last_retry_at")
 
     def __init__(self, burst: float, now: float) -> None:
-        self.level, self.at, self.promised = burst, now, 0.0
+        self.tokens, self.updated_at, self.last_retry_at = burst, now, 0.0
 
     def take(self, now: float, rate: float, burst: float) -> float:
-        """Takes one token; else the seconds until there will be one for this client. A clock that steps back
-        gives nothing and takes nothing."""
-        if now > self.at:
-            self.level += (now - self.at) * rate
-        if self.level > burst:
-            self.level = burst
-        self.at = now
-        if self.level >= 1.0 - ROUNDING:
-            self.level -= 1.0
+        """Takes one token and returns 0, or returns the seconds after which to retry.
+
+        `now` is in seconds; a clock that steps back neither adds nor removes tokens."""
+        if now > self.updated_at:
+            self.tokens += (now - self.updated_at) * rate
+        if self.tokens > burst:
+            self.tokens = burst
+        self.updated_at = now
+        if self.tokens >= 1.0 - TOKEN_TOLERANCE:
+            self.tokens -= 1.0
             return 0.0
-        earliest = now + (1.0 - self.level) / rate
-        self.promised = min(max(earliest, self.promised + 1.0 / rate), now + PROMISE_MAX_S)
-        return self.promised - now
+        earliest = now + (1.0 - self.tokens) / rate
+        self.last_retry_at = min(max(earliest, self.last_retry_at + 1.0 / rate), now + MAX_RETRY_AFTER_S)
+        return self.last_retry_at - now
 
 
-class Takes(Protocol):
-    """What a tenant's rate is taken from: a bucket here, or the fleet's."""
+class TokenSource(Protocol):
+    """The source of a tenant's rate tokens: a local bucket, or the fleet's budget."""
 
     def take(self, now: float, rate: float, burst: float) -> float:
-        """Takes one token; else the seconds until there will be one for this client."""
+        """Takes one token and returns 0, or returns the seconds after which to retry."""
 
 
 class Slots(Protocol):
-    """Where a tenant's requests in hand are bounded for the whole fleet."""
+    """A limit on a tenant's requests in hand over the whole fleet."""
 
     def free(self) -> int:
-        """Requests that may be taken now."""
+        """Number of requests that may be admitted now."""
 
-    def take(self) -> None: ...
+    def take(self) -> None:
+        """Counts a request in."""
+        ...
 
-    def release(self) -> None: ...
+    def release(self) -> None:
+        """Counts a request out."""
+        ...
 
 
 class Usage:
-    """What a tenant has in hand at this proxy, and what became of its requests since the start."""
+    """A tenant's requests and bytes in hand at this proxy, and its request counters since the start."""
 
     __slots__ = (
         "bucket",
         "in_hand",
         "bytes",
-        "weighed",
-        "held_s",
+        "counted_weight",
+        "mean_in_hand_s",
         "asked",
         "served",
         "failed",
@@ -95,44 +100,46 @@
         "slots",
     )
 
-    def __init__(self, burst: float, now: float, bucket: Takes | None = None) -> None:
-        self.bucket: Takes = bucket or Bucket(burst, now)
-        self.slots: Slots | None = None  # none: `in_hand` is bounded here
+    def __init__(self, burst: float, now: float, bucket: TokenSource | None = None) -> None:
+        self.bucket: TokenSource = bucket or Bucket(burst, now)
+        self.slots: Slots | None = None  # None: only the local count `in_hand` is limited
         self.in_hand = self.bytes = 0
-        self.weighed = 0.0  # its weight as counted while it has requests in hand
-        self.held_s = 0.0
+        self.counted_weight = 0.0  # its weight as counted in Shares.weight while it has requests in hand
+        self.mean_in_hand_s = 0.0  # smoothed time that a request is in hand
         self.asked = self.served = self.failed = 0
         self.refused: dict[str, int] = {}
 
-    def turned_away(self, reason: str) -> None:
+    def count_rejection(self, reason: str) -> None:
+        """Counts a rejected request."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
 
 class Shares:
-    """The requests in hand of all tenants against the capacity of this proxy."""
+    """Fair sharing of this proxy's capacity (requests in hand) among tenants."""
 
     __slots__ = ("capacity", "in_hand", "weight")
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self.in_hand = 0
-        self.weight = 0.0  # of all tenants with something in hand
+        self.weight = 0.0  # sum over the tenants that have requests in hand
 
     def admit(self, usage: Usage, limits: Limits, now: float, pressure: float) -> Refusal | None:
-        """Counts a request in, or says why not. `pressure` is the module's: the part that it sheds, 0 to 1.
+        """Counts a request in, or returns why it is rejected. `pressure` is the share of requests that the
+        policy sheds, 0 to 1.
 
-        The bucket comes last: who is turned away for another reason keeps the token.
+        The token is taken last, so that a request rejected for another reason does not cost one.
         """
         usage.asked += 1
-        refusal = self._refusal(usage, limits, pressure)
+        refusal = self._check_counts(usage, limits, pressure)
         if refusal is None:
             wait = usage.bucket.take(now, limits.rate_per_s, limits.burst)
             refusal = Refusal(Reason.RATE, wait) if wait > 0 else None
         if refusal is not None:
-            usage.turned_away(refusal.reason.value)
+            usage.count_rejection(refusal.reason.value)
             return refusal
         if not usage.in_hand:
-            usage.weighed = limits.weight
+            usage.counted_weight = limits.weight
             self.weight += limits.weight
         usage.in_hand += 1
         self.in_hand += 1
@@ -140,34 +147,39 @@
             usage.slots.take()
         return None
 
-    def _refusal(self, usage: Usage, limits: Limits, pressure: float) -> Refusal | None:
-        soon = max(usage.held_s, WAIT_MIN_S)
+    def _check_counts(self, usage: Usage, limits: Limits, pressure: float) -> Refusal | None:
+        retry_after_s = max(usage.mean_in_hand_s, MIN_RETRY_AFTER_S)
         if usage.in_hand >= limits.in_hand or (usage.slots is not None and not usage.slots.free()):
-            return Refusal(Reason.IN_HAND, soon)
+            return Refusal(Reason.IN_HAND, retry_after_s)
         if self.in_hand >= self.capacity:
-            return Refusal(Reason.CAPACITY, soon)
-        due = self._due(usage, limits, pressure)
-        return Refusal(Reason.SHARE, soon) if due is not None and usage.in_hand >= due else None
-
-    def _due(self, usage: Usage, limits: Limits, pressure: float) -> float | None:
-        """How many requests a tenant may have in hand while there is pressure; None while there is none. A
-        tenant alone never gets all: whoever comes next must find room."""
-        full = self.in_hand >= PRESSURE_AT * self.capacity
+            return Refusal(Reason.CAPACITY, retry_after_s)
+        fair_share = self._fair_share(usage, limits, pressure)
+        return (
+            Refusal(Reason.SHARE, retry_after_s)
+            if fair_share is not None and usage.in_hand >= fair_share
+            else None
+        )
+
+    def _fair_share(self, usage: Usage, limits: Limits, pressure: float) -> float | None:
+        """A tenant's fair share of requests in hand under pressure; None without pressure.
+
+        Even a tenant alone never gets the whole capacity, so that the next one finds room."""
+        full = self.in_hand >= FULL_SHARE * self.capacity
         if not full and pressure <= 0:
             return None
-        weight = usage.weighed if usage.in_hand else limits.weight
-        others = self.weight - (usage.weighed if usage.in_hand else 0.0)
+        weight = usage.counted_weight if usage.in_hand else limits.weight
+        others = self.weight - (usage.counted_weight if usage.in_hand else 0.0)
         if not full and others <= 0:
-            return None  # the module sheds what the fleet cannot do; there is nobody to share with
-        base = PRESSURE_AT * self.capacity if full else float(self.in_hand + 1)
+            return None  # no other tenant to share with; the policy sheds what the nodes cannot serve
+        base = FULL_SHARE * self.capacity if full else float(self.in_hand + 1)
         return max(base * weight / (weight + max(others, 0.0)), 1.0)
 
-    def release(self, usage: Usage, held_s: float) -> None:
-        """A request is over."""
+    def release(self, usage: Usage, in_hand_s: float) -> None:
+        """Counts out a request that was in hand for `in_hand_s` seconds."""
         usage.in_hand -= 1
         self.in_hand -= 1
         if usage.slots is not None:
             usage.slots.release()
-        usage.held_s += HELD_SMOOTH * (held_s - usage.held_s)
+        usage.mean_in_hand_s += IN_HAND_SMOOTHING * (in_hand_s - usage.mean_in_hand_s)
         if not usage.in_hand:
-            self.weight = max(self.weight - usage.weighed, 0.0) if self.in_hand else 0.0
+            self.weight = max(self.weight - usage.counted_weight, 0.0) if self.in_hand else 0.0
--- a/notchflow/tenancy/model.py
+++ b/notchflow/tenancy/model.py
@@ -1,4 +1,4 @@
-"""Tenants, their keys, routes and limits, as values."""
+"""Value types: tenants, their keys, routes and limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TenantState(Enum):
-    """Where a tenant is in its life. Gone is for good: the id is never given out again."""
+    """A tenant's lifecycle state. GONE is final: the ID is never reused."""
 
     ACTIVE = "active"
     SUSPENDED = "suspended"
@@ -22,7 +22,7 @@
     GONE = "gone"
 
 
-# Which changes of state there are; every other one is an error of the caller's.
+# Allowed state changes.
 TRANSITIONS: Final = {
     TenantState.ACTIVE: frozenset({TenantState.SUSPENDED, TenantState.RETIRING}),
     TenantState.SUSPENDED: frozenset({TenantState.ACTIVE, TenantState.RETIRING}),
@@ -31,18 +31,18 @@
 }
 
 
-def _check(ok: bool, name: str, what: str) -> None:
+def _check(ok: bool, name: str, message: str) -> None:
     if not ok:
-        raise ValueError(f"{name}: {what}")
+        raise ValueError(f"{name}: {message}")
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one tenant may take of one proxy.
+    """Limits of one tenant at one proxy.
 
-    rate_per_s: requests a second (a bucket of `burst` requests that fills at this rate); in_hand: requests
-    taken and not yet answered; bytes_held: bytes of request bodies in memory; weight: its part of the proxy
-    under pressure, against the other tenants that ask at that moment.
+    rate_per_s: requests per second (a bucket of `burst` requests that refills at this rate);
+    in_hand: requests admitted and not yet answered; bytes_held: bytes of request bodies in memory;
+    weight: its share of the proxy under pressure, relative to the other tenants with requests in hand.
     """
 
     rate_per_s: float = 100.0
@@ -60,19 +60,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A method and a path template, the request class that they stand for, and which of the template's
-    parameters name the thing asked for (none: the whole path does)."""
+    """A method and a path template, the request class that they map to, and the template's parameters that
+    make up the request's key (empty: the whole path is the key)."""
 
     method: str
     path: str
     cls: str
     key: tuple[str, ...] = ()
-    key_required: bool = False  # an Idempotency-Key; keyed classes need one in any case
+    key_required: bool = False  # whether an Idempotency-Key is required; keyed classes always require one
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant. `limits` and `routes` are the operator's defaults where they are None."""
+    """A tenant. None for `limits` or `routes` means the operator's defaults; times are Unix seconds."""
 
     id: str
     name: str = ""
@@ -93,8 +93,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiKey:
-    """A tenant's key to the door. `id` is its public part, by which it is found and recognised; the secret
-    is kept as its digest alone. Times are Unix seconds."""
+    """A tenant's API key. `id` is its public part, by which it is looked up; of the secret only the digest is
+    stored. Times are Unix seconds."""
 
     id: str
     tenant: str
@@ -105,4 +105,5 @@
     revoked_at: float | None = None
 
     def usable(self, now: float) -> bool:
+        """Whether the key is neither revoked nor expired."""
         return self.revoked_at is None and (self.expires_at is None or now < self.expires_at)
--- a/notchflow/tenancy/problems.py
+++ b/notchflow/tenancy/problems.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457): the proxy's own answers in words that a program can read."""
+"""Problem details (RFC 9457): machine-readable bodies of the proxy's own error replies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from notchflow.net.exchange import LocalReply
 
-TYPE: Final = "urn:notchflow:problem:"
+TYPE_PREFIX: Final = "urn:notchflow:problem:"
 
 TITLES: Final = {
     "bad-request": "The request cannot be read in one way",
@@ -33,15 +33,15 @@
 
 
 def document(status: int, kind: str, detail: str = "", **more: Any) -> dict[str, Any]:
-    """A problem's members: type, title, status, detail, and what more the kind defines."""
-    found: dict[str, Any] = {"type": TYPE + kind, "title": TITLES[kind], "status": status}
+    """The members of a problem: type, title, status, detail, and those in `more` that the kind defines."""
+    members: dict[str, Any] = {"type": TYPE_PREFIX + kind, "title": TITLES[kind], "status": status}
     if detail:
-        found["detail"] = detail
-    return found | more
+        members["detail"] = detail
+    return members | more
 
 
 def whole_seconds(seconds: float) -> int:
-    """Retry-After is in whole seconds, and never earlier than meant."""
+    """Rounds a duration up for Retry-After, which is in whole seconds; at least 1."""
     return max(math.ceil(seconds), 1)
 
 
@@ -53,6 +53,7 @@
     fields: tuple[bytes, ...] = (),
     **more: Any,
 ) -> LocalReply:
+    """A reply with a problem as its body; `fields` are further header lines."""
     headers = [b"Content-Type: application/problem+json\r\n", b"Cache-Control: no-store\r\n", *fields]
     if retry_after_s is not None:
         headers.append(b"Retry-After: %d\r\n" % whole_seconds(retry_after_s))
--- a/notchflow/tenancy/routes.py
+++ b/notchflow/tenancy/routes.py
@@ -1,7 +1,7 @@
-"""Routes: a method and a path template to a request class, so that ordinary clients need no fields of ours.
+"""Routes: map a method and a path to a request class, so that clients need no special headers.
 
-A template is a path whose segments are literal or `{name}`; a parameter stands for exactly one segment. Where
-two templates fit, the one that is literal further left wins, whatever their order.
+A template is a path whose segments are literal or `{name}`; a parameter matches exactly one segment. If
+several templates match, the one with the leftmost literal segment wins, whatever their order.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 def faults(routes: Iterable[Route], classes: Collection[str]) -> list[tuple[str, str]]:
-    """All that is wrong with routes: the place (`0.path`) and what is allowed there."""
+    """Validates routes; returns for each error its place (`0.path`) and what is wrong and allowed."""
     found: list[tuple[str, str]] = []
     seen: dict[tuple[str, str], int] = {}
-    listed = list(routes)
-    if len(listed) > ROUTES_MAX:
-        found.append(("", f"holds {len(listed)} routes; at most {ROUTES_MAX} are allowed"))
-    for number, route in enumerate(listed):
+    route_list = list(routes)
+    if len(route_list) > ROUTES_MAX:
+        found.append(("", f"holds {len(route_list)} routes; at most {ROUTES_MAX} are allowed"))
+    for number, route in enumerate(route_list):
         if route.method not in METHODS:
             found.append((f"{number}.method", f"is {route.method!r}; allowed: {', '.join(METHODS)}"))
         if route.cls not in classes:
             found.append((f"{number}.class", f"is {route.cls!r}; allowed: {', '.join(sorted(classes))}"))
-        problem = _template_fault(route.path)
+        problem = _template_error(route.path)
         if problem:
             found.append((f"{number}.path", f"is {route.path!r}: {problem}"))
             continue
@@ -49,10 +49,11 @@
 
 
 def parameters(template: str) -> list[str]:
+    """The names of a template's parameters, in order."""
     return PARAMETER.findall(template)
 
 
-def _template_fault(template: str) -> str:
+def _template_error(template: str) -> str:
     plain = PARAMETER.sub("p", template)
     if not plain.startswith("/") or not plain.isascii():
         return "a template begins with / and is ASCII"
@@ -71,60 +72,60 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """A request's class and the key, within its tenant, of the thing that it is about."""
+    """A matched route and the request's key, which is unique within the tenant."""
 
     route: Route
     key: str
 
 
-class _Step:
-    __slots__ = ("literal", "any", "routes")
+class _TrieNode:
+    __slots__ = ("literal", "parameter", "routes")
 
     def __init__(self) -> None:
-        self.literal: dict[str, _Step] = {}
-        self.any: _Step | None = None
+        self.literal: dict[str, _TrieNode] = {}
+        self.parameter: _TrieNode | None = None
         self.routes: dict[str, tuple[Route, tuple[int, ...]]] = {}
 
 
 class Router:
-    """Compiled routes. Matching follows the path's segments, however many routes there are."""
+    """Routes compiled into a trie of path segments; matching time does not depend on their number."""
 
     __slots__ = ("root",)
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        self.root = _Step()
+        self.root = _TrieNode()
         for route in routes:
-            step, positions = self.root, {}
-            for at, segment in enumerate(route.path[1:].split("/")):
-                found = PARAMETER.fullmatch(segment)
-                if found is None:
-                    step = step.literal.setdefault(segment, _Step())
+            node, positions = self.root, {}
+            for index, segment in enumerate(route.path[1:].split("/")):
+                parameter = PARAMETER.fullmatch(segment)
+                if parameter is None:
+                    node = node.literal.setdefault(segment, _TrieNode())
                 else:
-                    positions[found[1]] = at
-                    step.any = step.any or _Step()
-                    step = step.any
-            step.routes.setdefault(route.method, (route, tuple(positions[name] for name in route.key)))
+                    positions[parameter[1]] = index
+                    node.parameter = node.parameter or _TrieNode()
+                    node = node.parameter
+            node.routes.setdefault(route.method, (route, tuple(positions[name] for name in route.key)))
 
     def match(self, method: str, path: str) -> Match | frozenset[str]:
-        """The route of a request; else the methods that its path has (none: there is no such path)."""
+        """The matched route; without one, the methods that the path allows (empty: no such path)."""
         segments = path[1:].split("/")
         allowed: set[str] = set()
-        found = self._walk(self.root, segments, 0, method, allowed)
+        found = self._find(self.root, segments, 0, method, allowed)
         if found is None:
             return frozenset(allowed)
         route, positions = found
-        return Match(route, "/".join([segments[at] for at in positions]) if positions else path[1:])
+        return Match(route, "/".join([segments[index] for index in positions]) if positions else path[1:])
 
-    def _walk(
-        self, step: _Step, segments: list[str], at: int, method: str, allowed: set[str]
+    def _find(
+        self, node: _TrieNode, segments: list[str], index: int, method: str, allowed: set[str]
     ) -> tuple[Route, tuple[int, ...]] | None:
-        if at == len(segments):
-            if method in step.routes:
-                return step.routes[method]
-            allowed.update(step.routes)
+        if index == len(segments):
+            if method in node.routes:
+                return node.routes[method]
+            allowed.update(node.routes)
             return None
-        nearer = step.literal.get(segments[at])
-        found = self._walk(nearer, segments, at + 1, method, allowed) if nearer is not None else None
-        if found is None and step.any is not None and segments[at]:
-            found = self._walk(step.any, segments, at + 1, method, allowed)
+        child = node.literal.get(segments[index])
+        found = self._find(child, segments, index + 1, method, allowed) if child is not None else None
+        if found is None and node.parameter is not None and segments[index]:
+            found = self._find(node.parameter, segments, index + 1, method, allowed)
         return found
--- a/tests/tenancy/test_directory.py
+++ b/tests/tenancy/test_directory.py
@@ -56,9 +56,9 @@
     ):
         assert directory.authenticate(wrong, 1.0) is Denied.UNKNOWN
     assert directory.authenticate(tokens["alfa"], 100.0) is Denied.UNKNOWN, "expired"
-    assert set(directory.take_used()) == {k.id for k in directory.keys.values() if k.tenant == "alfa"}
+    assert set(directory.take_key_uses()) == {k.id for k in directory.keys.values() if k.tenant == "alfa"}
     entry(directory, tokens["alfa"])
-    assert directory.take_used() == {}, "at most one write a key and minute"
+    assert directory.take_key_uses() == {}, "at most one write a key and minute"
 
 
 def test_a_revoked_key_is_unknown_at_once_and_others_stay() -> None:
@@ -85,9 +85,9 @@
         assert directory.admit(found, 1.0, 0.0) is None
     retiring = replace(found.tenant, state=TenantState.RETIRING, version=2)
     directory.put(retiring, 2.0)
-    directory.over(found, 0.1, 200)
+    directory.finish(found, 0.1, 200)
     assert drained == []
-    directory.over(found, 0.1, 0)
+    directory.finish(found, 0.1, 0)
     assert drained == ["alfa"]
     directory.put(retired(retiring, 3.0), 3.0)
     assert directory.authenticate(tokens["alfa"], 1.0) is Denied.UNKNOWN
@@ -104,7 +104,7 @@
 def test_new_defaults_hold_at_once_for_those_without_their_own() -> None:
     directory, tokens, _ = made("alfa", "beta")
     directory.put(Tenant("beta", version=2, limits=Limits(in_hand=3), routes=()), 1.0)
-    directory.redefine(Limits(in_hand=5), (Route("GET", "/new", "read"),), 10)
+    directory.set_defaults(Limits(in_hand=5), (Route("GET", "/new", "read"),), 10)
     assert entry(directory, tokens["alfa"]).limits.in_hand == 5
     assert entry(directory, tokens["alfa"]).router.match("GET", "/new")
     assert entry(directory, tokens["beta"]).limits.in_hand == 3
@@ -113,5 +113,5 @@
 
 def test_no_tenant_s_keys_begin_another_s() -> None:
     directory, tokens, _ = made("alfa", "alfa-2", "al-fa")
-    spaces = [entry(directory, t).space for t in tokens.values()]
+    spaces = [entry(directory, t).key_prefix for t in tokens.values()]
     assert not [1 for a in spaces for b in spaces if a != b and a.startswith(b)]
--- a/tests/tenancy/test_limits.py
+++ b/tests/tenancy/test_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchflow.tenancy.limits import PROMISE_MAX_S, Bucket, Reason, Shares, Usage
+from notchflow.tenancy.limits import MAX_RETRY_AFTER_S, Bucket, Reason, Shares, Usage
 from notchflow.tenancy.model import Limits
 
 WIDE = Limits(rate_per_s=1e6, burst=1e6, in_hand=1_000_000)
@@ -19,7 +19,7 @@
     assert [bucket.take(0.0, 10, 5) for _ in range(5)] == [0.0] * 5
     assert bucket.take(0.0, 10, 5) == pytest.approx(0.1)
     assert bucket.take(0.101, 10, 5) == 0.0
-    assert bucket.take(100.0, 10, 5) == 0.0 and bucket.level == 4, "never more than the burst"
+    assert bucket.take(100.0, 10, 5) == 0.0 and bucket.tokens == 4, "never more than the burst"
 
 
 def test_those_turned_away_are_told_times_one_after_the_other() -> None:
@@ -29,7 +29,7 @@
     assert told == pytest.approx([0.1, 0.2, 0.3, 0.4, 0.5])
     for at in told:  # who comes back when told is served
         assert bucket.take(at + 1e-6, 10, 1) == 0.0
-    assert max(bucket.take(0.5, 0.001, 1) for _ in range(100)) <= PROMISE_MAX_S
+    assert max(bucket.take(0.5, 0.001, 1) for _ in range(100)) <= MAX_RETRY_AFTER_S
 
 
 def test_a_clock_that_steps_back_gives_nothing_away() -> None:
--- a/tests/tenancy/test_figures.py
+++ b/tests/tenancy/test_metrics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from notchflow.tenancy.directory import Directory
-from notchflow.tenancy.figures import lines
+from notchflow.tenancy.metrics import lines
 from notchflow.tenancy.model import Limits, Tenant
 
 
@@ -29,8 +29,8 @@
 
 def test_all_are_named_where_they_are_few_and_refusals_are_summed() -> None:
     made = directory(3)
-    made.entries["t-1"].usage.turned_away("rate")
-    made.entries["t-1"].usage.turned_away("module")
+    made.entries["t-1"].usage.count_rejection("rate")
+    made.entries["t-1"].usage.count_rejection("module")
     told = lines(made.entries.values())
     assert 'svc_tenant_refused{tenant="t-1"} 2' in told and 'svc_tenant_refused{tenant="t-2"} 0' in told
     assert not any('tenant=""' in line or "t-0" in line for line in told), "who never asked is not told of"
