--- a/notchflow/hosting/bridge.py
+++ b/notchflow/hosting/bridge.py
@@ -1,4 +1,4 @@
-"""Calls from the administration's thread to the proxy's loop."""
+"""Calls from the administration's thread to the proxy's event loop."""
 
 from __future__ import annotations
 
@@ -16,35 +16,38 @@
 T = TypeVar("T")
 
 
-class Bridge:
-    """The running proxy for the administration's thread: each call is one turn of the proxy's loop."""
+class LoopBridge:
+    """The running proxy for the administration's thread; each method is one callback on the proxy's loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, directory: Directory, host: HostedHost) -> None:
         self.loop, self.directory, self.host = loop, directory, host
 
-    async def ask(self, call: Callable[[], T]) -> T:
-        """Runs a call on the proxy's loop and waits for it on this one."""
-        done: concurrent.futures.Future[T] = concurrent.futures.Future()
+    async def run_on_loop(self, call: Callable[[], T]) -> T:
+        """Runs a call on the proxy's loop and awaits its result on the caller's loop."""
+        future: concurrent.futures.Future[T] = concurrent.futures.Future()
 
         def run() -> None:
             try:
-                done.set_result(call())
+                future.set_result(call())
             except BaseException as error:
-                done.set_exception(error)
+                future.set_exception(error)
 
         self.loop.call_soon_threadsafe(run)
-        return await asyncio.wrap_future(done)
+        return await asyncio.wrap_future(future)
 
     async def apply(self, changes: Sequence[Change]) -> None:
-        await self.ask(lambda: apply(self.directory, changes))
+        """Applies changes of tenants and keys to the directory."""
+        await self.run_on_loop(lambda: apply(self.directory, changes))
 
     async def usage(self, tenant: str) -> dict[str, Any]:
+        """A tenant's usage at this instance, with the fleet's if limits are shared."""
+
         def read() -> dict[str, Any]:
             member = self.host.membership
             fleet = member.limits.usage(tenant) if member is not None and member.limits is not None else None
-            return here() | {"fleet": fleet}
+            return local() | {"fleet": fleet}
 
-        def here() -> dict[str, Any]:
+        def local() -> dict[str, Any]:
             entry = self.directory.entries.get(tenant)
             if entry is None:
                 return {"in_hand": 0, "bytes_held": 0, "asked": 0, "served": 0, "failed": 0, "refused": {}}
@@ -58,23 +61,28 @@
                 "refused": dict(usage.refused),
             }
 
-        return await self.ask(read)
+        return await self.run_on_loop(read)
 
     async def boxes(self) -> list[dict[str, Any]]:
-        return await self.ask(self.host.boxes)
+        """The nodes and their states."""
+        return await self.run_on_loop(self.host.node_statuses)
 
     async def proxy(self) -> dict[str, Any]:
-        return await self.ask(self.host.view)
+        """The proxy's state."""
+        return await self.run_on_loop(self.host.proxy_status)
 
     async def cluster(self) -> dict[str, Any] | None:
-        member = self.host.membership
-        return await self.ask(member.show) if member is not None else None
+        """The fleet as this instance sees it; None without a fleet."""
+        membership = self.host.membership
+        return await self.run_on_loop(membership.status) if membership is not None else None
 
     async def duty(self, active: bool) -> bool:
-        return await self.ask(self.host.activate if active else self.host.enter_standby)
+        """Makes the proxy active or a standby; returns whether it serves requests."""
+        return await self.run_on_loop(self.host.activate if active else self.host.enter_standby)
 
 
 def apply(directory: Directory, changes: Iterable[Change]) -> None:
+    """Applies changes of tenants and keys to the directory."""
     now = time.monotonic()
     for change in changes:
         if isinstance(change, Tenant):
--- a/notchflow/hosting/derived.py
+++ b/notchflow/hosting/derived.py
@@ -1,4 +1,4 @@
-"""What the parts of the service are made with, from the operator's file."""
+"""Derives the settings of the service's components from the operator file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from notchflow.tenancy.door import Face
 
 
-def face(file: OperatorFile) -> Face:
+def admission_settings(file: OperatorFile) -> Face:
+    """Settings of the admission of tenants' requests."""
     return Face(
         file.fleet.path_prefix,
         file.fleet.host.encode(),
@@ -20,22 +21,24 @@
     )
 
 
-def bounds(admin: AdminModel) -> Bounds:
+def admin_bounds(admin: AdminModel) -> Bounds:
+    """Limits of the administration listener."""
     return Bounds(
         admin.head_max, admin.body_max, admin.timeout_s, admin.rate_per_s, admin.burst, admin.connections
     )
 
 
-def rules(file: OperatorFile) -> dict[str, Rule]:
-    """What is remembered of each class with effects."""
-    found: dict[str, Rule] = {}
+def effect_rules(file: OperatorFile) -> dict[str, Rule]:
+    """For each class with effects, how long its idempotency keys are remembered."""
+    rules: dict[str, Rule] = {}
     for c in file.classes:
         kind = EFFECTS[c.effect]
         if file.effects is not None and kind is not Effect.SAFE:
             keep_s = file.effects.unsafe_s if kind is Effect.UNSAFE else file.effects.keyed_s
-            found[c.name] = Rule(kind, int(keep_s * 1e3), c.window_ms if kind is Effect.KEYED else 0.0)
-    return found
+            rules[c.name] = Rule(kind, int(keep_s * 1e3), c.window_ms if kind is Effect.KEYED else 0.0)
+    return rules
 
 
-def defaults(file: OperatorFile) -> Defaults:
+def api_defaults(file: OperatorFile) -> Defaults:
+    """Known classes and default limits for the administration API."""
     return Defaults(tuple(c.name for c in file.classes), file.tenants.limits.core())
--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy of the hosted service: the host, and what the administration and the console show of it."""
+"""The host of the hosted service, with the state and metrics that the administration and the console show."""
 
 from __future__ import annotations
 
@@ -15,50 +15,52 @@
 from notchflow.tenancy import metrics as tenant_metrics
 from notchflow.tenancy.door import TenantDoor
 
-GONE_KEPT_MS: Final = 60_000.0  # a node that is gone is still shown for so long
+GONE_SHOWN_MS: Final = 60_000.0  # how long a node that is gone is still shown
 
 
 class HostedHost(Host):
-    """A host that also remembers what the list calls its boxes, for those who ask the API."""
+    """A host that also tracks names, addresses and states of its nodes for the administration API."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, door: TenantDoor) -> None:
-        self.seen: dict[int, tuple[str, str, State, float]] = {}  # name, address, state, told at (ms)
+        # By node: name, address, state and when it changed (ms).
+        self.shown_nodes: dict[int, tuple[str, str, State, float]] = {}
         self.tenants = door.directory
         self.keeper: Keeper | None = None
         self.membership: Membership | None = None
         super().__init__(config, loop, door)
 
     def apply(self, listing: NodeList, kind: ListKind) -> None:
+        """Applies a list of nodes and records their names, addresses and states."""
         now, names, addresses = self.clock.now(), listing.names or {}, listing.addresses or {}
         if kind is not ListKind.DELTA:
-            for node in self.seen.keys() - names.keys():
-                self._note(node, *self.seen[node][:2], State.GONE, now)
+            for node in self.shown_nodes.keys() - names.keys():
+                self._record(node, *self.shown_nodes[node][:2], State.GONE, now)
         for member in listing.members:
             host, port = addresses[member.node]
-            self._note(member.node, names[member.node], f"{host}:{port}", member.state, now)
-        self.seen = {
-            node: box
-            for node, box in self.seen.items()
-            if box[2] is not State.GONE or box[3] + GONE_KEPT_MS > now
+            self._record(member.node, names[member.node], f"{host}:{port}", member.state, now)
+        self.shown_nodes = {
+            node: shown
+            for node, shown in self.shown_nodes.items()
+            if shown[2] is not State.GONE or shown[3] + GONE_SHOWN_MS > now
         }
         super().apply(listing, kind)
 
-    def _note(self, node: int, name: str, address: str, state: State, now: float) -> None:
-        before = self.seen.get(node)
-        at = before[3] if before is not None and before[2] is state else now
-        self.seen[node] = name, address, state, at
+    def _record(self, node: int, name: str, address: str, state: State, now: float) -> None:
+        previous = self.shown_nodes.get(node)
+        changed_at = previous[3] if previous is not None and previous[2] is state else now
+        self.shown_nodes[node] = name, address, state, changed_at
 
     def metrics_text(self) -> str:
-        """The platform's figures, and those of tenants."""
+        """The host's metrics with those of tenants, the effect memory and the fleet membership."""
         lines = [
             *tenant_metrics.lines(self.tenants.entries.values()),
-            *effect_lines(self.keeper),
-            *(self.membership.lines() if self.membership is not None else ()),
+            *effect_metrics_lines(self.keeper),
+            *(self.membership.metrics_lines() if self.membership is not None else ()),
         ]
         return super().metrics_text() + "\n".join(lines) + "\n"
 
-    def view(self) -> dict[str, Any]:
-        """The proxy itself, for those who ask the API."""
+    def proxy_status(self) -> dict[str, Any]:
+        """The proxy's state for `GET /v1/proxy`."""
         return {
             "phase": self.lifecycle.phase.value,
             "serving": self.is_serving(),
@@ -69,31 +71,34 @@
             "effects": self.keeper.figures() if self.keeper is not None else None,
         }
 
-    def rebalance(self, balancers: int) -> None:
-        """So many proxies are there, this one counted."""
+    def set_instance_count(self, balancers: int) -> None:
+        """Sets the number of instances, this one included."""
         self._apply_settings(replace(self.config, settings=replace(self.settings, balancers=balancers)))
         self.config = replace(self.config, settings=self.settings)
         self.dispatch(SettingsChanged(self.settings))
 
-    def boxes(self) -> list[dict[str, Any]]:
+    def node_statuses(self) -> list[dict[str, Any]]:
+        """The nodes for `GET /v1/boxes`, by name."""
         nodes = self.balancer.fleet.nodes
         return [
             {
                 "id": name,
                 "address": address,
                 "state": state.value,
-                "changed_at": at / 1e3,
+                "changed_at": changed_at / 1e3,
                 "in_flight": nodes[node].in_flight if node in nodes else 0,
             }
-            for node, (name, address, state, at) in sorted(self.seen.items(), key=lambda item: item[1])
+            for node, (name, address, state, changed_at) in sorted(
+                self.shown_nodes.items(), key=lambda item: item[1]
+            )
         ]
 
 
-def effect_lines(keeper: Keeper | None) -> list[str]:
-    """The memory of effects on the console."""
+def effect_metrics_lines(keeper: Keeper | None) -> list[str]:
+    """The metrics of the effect memory, in the text format."""
     if keeper is None:
         return []
-    told = keeper.figures()
-    denied = told.pop("denied")
-    flat = told | {f"denied_{why.replace('-', '_')}": count for why, count in denied.items()}
+    counts = keeper.figures()
+    denied = counts.pop("denied")
+    flat = counts | {f"denied_{reason.replace('-', '_')}": count for reason, count in denied.items()}
     return [f"effects_{name} {value}" for name, value in flat.items()]
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -1,4 +1,4 @@
-"""The hosted service: the proxy on its loop, the administration on its own thread, the state on a third."""
+"""The hosted service: the proxy on its event loop, the administration API and the database on threads."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from notchflow.admin.server import AdminServer
 from notchflow.cluster.identity import IdentityError
 from notchflow.effects.keeper import Keeper
-from notchflow.hosting.bridge import Bridge, apply
-from notchflow.hosting.derived import bounds, defaults, face, rules
+from notchflow.hosting.bridge import LoopBridge, apply
+from notchflow.hosting.derived import admin_bounds, admission_settings, api_defaults, effect_rules
 from notchflow.hosting.file import FileFaults, OperatorFile, load
 from notchflow.hosting.membership import Membership
 from notchflow.hosting.proxy import HostedHost
@@ -45,15 +45,15 @@
 T = TypeVar("T")
 
 TOKEN_FILE: Final = "operator.token"
-# The interpreter lets the other thread go after this long (its default is 5 ms): the most that a busy
-# administration call holds up the proxy's loop at a time.
-SWITCH_S: Final = 0.0005
-USED_EVERY_S: Final = 10.0  # keys' last use goes to disk this often, all at once
-RETIRE_S: Final = 2.0
+# The interpreter's thread switch interval (its default is 5 ms): the longest that a busy administration call
+# delays the proxy's loop at a time.
+SWITCH_INTERVAL_S: Final = 0.0005
+KEY_USE_FLUSH_S: Final = 10.0  # between two batched writes of the keys' last use
+RETIREMENT_DELAY_S: Final = 2.0
 
 
 class Service:
-    """One hosted proxy, from its file to its end."""
+    """One hosted proxy with its administration, state and fleet membership, made from an operator file."""
 
     def __init__(self, file: OperatorFile, loop: asyncio.AbstractEventLoop) -> None:
         self.file, self.loop = file, loop
@@ -61,22 +61,24 @@
         self.committer: Committer | None = None
         self.membership: Membership | None = None
         try:
-            self.operations = Operations(self.db, defaults(file))
+            self.operations = Operations(self.db, api_defaults(file))
             self.directory = Directory(
                 file.tenants.limits.core(),
                 [r.core() for r in file.tenants.routes],
                 file.service.in_hand,
-                self._drained,
+                self._finish_retirement,
+            )
+            self.door = TenantDoor(
+                self.directory, admission_settings(file), self._pressure, secrets.token_hex(4).encode()
             )
-            self.door = TenantDoor(self.directory, face(file), self._pressure, secrets.token_hex(4).encode())
             self.host = HostedHost(file.config(secrets.randbits(64)), loop, self.door)
             self.door.host = self.host
-            self._join()
-            self._remember()
-            self.bridge = Bridge(loop, self.directory, self.host)
-            self.backend = Backend(self.operations, self.bridge, self._rules())
+            self._join_fleet()
+            self._open_effect_store()
+            self.bridge = LoopBridge(loop, self.directory, self.host)
+            self.backend = Backend(self.operations, self.bridge, self._fleet_rules())
             self.admin = AdminServer(
-                create(self.backend), parse_address(file.admin.address), bounds(file.admin)
+                create(self.backend), parse_address(file.admin.address), admin_bounds(file.admin)
             )
         except BaseException:
             self.db.close()
@@ -85,51 +87,51 @@
             if self.membership is not None:
                 self.membership.close()
             raise
-        self.flushing: asyncio.TimerHandle | None = None
+        self.flush_timer: asyncio.TimerHandle | None = None
 
-    def _join(self) -> None:
-        """Becomes a member, if the file says so. IdentityError, OSError."""
+    def _join_fleet(self) -> None:
+        """Creates the fleet membership, if the file has one. IdentityError, OSError."""
         model = self.file.cluster
         if model is None:
             return
         history = self.file.path.parent / model.history if model.history else None
-        member = Membership(
+        membership = Membership(
             model,
             self.file.state,
             self.file.secret,
             self.loop,
-            self.host.rebalance,
+            self.host.set_instance_count,
             self.host.longest_deadline_ms,
             self.db,
             self.host.metrics.classes,
             history,
         )
-        self.membership = self.host.membership = member
-        member.changed.append(self._taking)
-        self.directory.shared = member.limits
-        self.door.readiness_reply = lambda: member.ready(self.host.lifecycle.draining)
-        if member.rules is not None:
-            member.rules.on_applied = self._agreed
-            self.door.check_rules = member.rules.rejection
-        self._taking()
-
-    def _rules(self) -> FleetRules | None:
+        self.membership = self.host.membership = membership
+        membership.on_accepting_changed.append(self._update_availability)
+        self.directory.shared = membership.limits
+        self.door.readiness_reply = lambda: membership.ready(self.host.lifecycle.draining)
+        if membership.rules is not None:
+            membership.rules.on_applied = self._apply_agreed
+            self.door.check_rules = membership.rules.rejection
+        self._update_availability()
+
+    def _fleet_rules(self) -> FleetRules | None:
         return self.membership.rules if self.membership is not None else None
 
-    def _agreed(self, applied: Applied, changes: list[Change]) -> None:
-        """Rules that come into force here."""
+    def _apply_agreed(self, applied: Applied, changes: list[Change]) -> None:
+        """Applies changes that the fleet committed to the directory."""
         if applied.whole:
             self.directory.replace(
                 [c for c in changes if isinstance(c, Tenant)],
                 [c for c in changes if not isinstance(c, Tenant)],
                 time.monotonic(),
             )
-            self.admin.spawn(self._token_or_none)
+            self.admin.spawn(self._delete_void_token)
         else:
             apply(self.directory, changes)
 
-    async def _token_or_none(self) -> None:
-        """The first token that was drawn here is void where another instance's state began the log."""
+    async def _delete_void_token(self) -> None:
+        """Deletes the token file if its token is void: another instance's state began the fleet's log."""
         path = self.file.state / TOKEN_FILE
         if path.exists():
             try:
@@ -142,12 +144,12 @@
                     path,
                 )
 
-    def _taking(self) -> None:
+    def _update_availability(self) -> None:
         assert self.membership is not None
-        self.door.unavailable_reply = self.membership.turned_away()
+        self.door.unavailable_reply = self.membership.unavailable_reply()
 
-    def _remember(self) -> None:
-        """The memory of effects, recovered. StoreError, ManifestError, Locked, OSError."""
+    def _open_effect_store(self) -> None:
+        """Opens and recovers the effect store. StoreError, ManifestError, Locked, OSError."""
         file = self.file
         if file.effects is None or file.effects_folder is None:
             return
@@ -157,38 +159,38 @@
         recovered = committer.start()
         self.committer = committer
         log.info(
-            "effects: %d keys recovered, %d bytes read, %d segments by hints, %d torn bytes cut off",
+            "effects: recovered %d keys; read %d bytes, loaded %d segments from hints, cut off %d torn bytes",
             recovered.records,
             recovered.scanned,
             recovered.hinted,
             recovered.torn,
         )
         keeper = Keeper(committer, self.host, self.host.timers.cancel)
-        keeper.rules = rules(file)
+        keeper.rules = effect_rules(file)
         self.door.memory = self.host.keeper = keeper
 
     def _pressure(self) -> float:
         return self.host.balancer.throttle.pressure()
 
     def start(self) -> None:
-        """Takes over the state, then opens both listeners. OSError: an address is taken."""
+        """Loads the tenants, then opens both listeners. OSError: an address is in use."""
         if self.membership is not None:
             self.membership.bind()
-        agreed = self._rules()
-        token = self.operations.first_token() if agreed is None or not agreed.state.sealed else None
+        fleet_rules = self._fleet_rules()
+        token = self.operations.first_token() if fleet_rules is None or not fleet_rules.state.sealed else None
         if token is not None:
             _write_secret(self.file.state / TOKEN_FILE, token)
-            log.info("an operator's token is in %s", self.file.state / TOKEN_FILE)
-        for tenant in self.db.tenants(state=TenantState.RETIRING.value) if agreed is None else []:
-            self.operations.finish_retirement(tenant.id)  # nothing is in hand at a start
+            log.info("wrote an operator token to %s", self.file.state / TOKEN_FILE)
+        for tenant in self.db.tenants(state=TenantState.RETIRING.value) if fleet_rules is None else []:
+            self.operations.finish_retirement(tenant.id)  # no request is in hand at a start
         apply(self.directory, [t for t in self.db.tenants() if t.state is not TenantState.GONE])
         apply(self.directory, self.db.live_keys())
         self.host.start()
         self.admin.start()
         if self.membership is not None:
             self.membership.start()
-        freeze_startup_objects()  # ten thousand tenants stay
-        self.flushing = self.loop.call_later(USED_EVERY_S, self._flush)
+        freeze_startup_objects()  # up to ten thousand tenants that the collector need not visit
+        self.flush_timer = self.loop.call_later(KEY_USE_FLUSH_S, self._flush_key_uses)
         log.info(
             "serving %d tenants on %s, administration on %s",
             len(self.directory.entries),
@@ -196,36 +198,39 @@
             self.file.admin.address,
         )
 
-    def _drained(self, tenant: str) -> None:
-        """Told on the proxy's loop, so the state is changed elsewhere. In a fleet the first instance to have
-        nothing in hand of a tenant ends it; a little later, as the others are told of the retirement now."""
-        if self._rules() is None:
+    def _finish_retirement(self, tenant: str) -> None:
+        """Finishes a tenant's retirement on the administration's thread; called on the proxy's loop.
+
+        In a fleet the first instance without requests of the tenant in hand finishes it, after a delay in
+        which the other instances learn of the retirement.
+        """
+        if self._fleet_rules() is None:
             self.admin.spawn(lambda: self.backend.change(self.operations.finish_retirement, tenant))
         else:
             self.loop.call_later(
-                RETIRE_S,
+                RETIREMENT_DELAY_S,
                 lambda: self.admin.spawn(
                     lambda: self.backend.change(self.operations.finish_retirement, tenant)
                 ),
             )
 
-    def _flush(self) -> None:
-        self.flushing = self.loop.call_later(USED_EVERY_S, self._flush)
+    def _flush_key_uses(self) -> None:
+        self.flush_timer = self.loop.call_later(KEY_USE_FLUSH_S, self._flush_key_uses)
         used = self.directory.take_key_uses()
         if used:
             self.admin.spawn(lambda: self.backend.read(self.db.note_used, used))
 
     def reload(self) -> list[str]:
-        """Takes over the file as it is now; what it says of things that only a start can change is told."""
+        """Reloads the operator file; returns, and logs, the changed settings that need a restart."""
         try:
             file = load(self.file.path)
         except FileFaults as error:
             log.error("the operator file stays as it was: %s", error)
             self.host.metrics.cfg_invalid += 1
             return []
-        fixed = [
+        needs_restart = [
             name
-            for name, old, new in (
+            for name, current, new in (
                 ("service.name", self.file.service.name, file.service.name),
                 ("service.state", self.file.state, file.state),
                 ("service.memory_mb", self.file.service.memory_mb, file.service.memory_mb),
@@ -238,81 +243,84 @@
                 ("admin.connections", self.file.admin.connections, file.admin.connections),
                 ("effects", self.file.effects, file.effects),
                 ("cluster", (self.file.cluster, self.file.secret), (file.cluster, file.secret)),
-                ("fleet", listed(self.file), listed(file)),
+                ("fleet", has_fixed_nodes(self.file), has_fixed_nodes(file)),
             )
-            if old != new
+            if current != new
         ]
-        if fixed:
-            log.warning("these wait for the next start: %s", ", ".join(fixed))
-        old, fresh = self.host.config, file.config(self.host.config.seed)
-        fresh = replace(fresh, settings=replace(fresh.settings, balancers=old.settings.balancers))
-        # A class must be known to the module before a route leads to it; requests in hand keep theirs.
+        if needs_restart:
+            log.warning("changed settings that wait for the next start: %s", ", ".join(needs_restart))
+        current, config = self.host.config, file.config(self.host.config.seed)
+        config = replace(config, settings=replace(config.settings, balancers=current.settings.balancers))
+        # The policy must know a class before a route maps to it; requests in hand keep their class.
         self.host.reload(
             replace(
-                fresh,
-                name=old.name,
-                listen=old.listen,
-                also_listen=old.also_listen,
-                console=old.console,
-                memory_mb=old.memory_mb,
-                sockets=old.sockets,
-                discovery=old.discovery if "fleet" in fixed else fresh.discovery,
+                config,
+                name=current.name,
+                listen=current.listen,
+                also_listen=current.also_listen,
+                console=current.console,
+                memory_mb=current.memory_mb,
+                sockets=current.sockets,
+                discovery=current.discovery if "fleet" in needs_restart else config.discovery,
             )
         )
         if self.membership is not None and self.membership.limits is not None:
-            self.membership.limits.longest(self.host.longest_deadline_ms)
+            self.membership.limits.set_max_in_hand(self.host.longest_deadline_ms)
         self.directory.set_defaults(
             file.tenants.limits.core(), [r.core() for r in file.tenants.routes], file.service.in_hand
         )
-        self.operations.defaults = defaults(file)
-        self.door.face = face(file)
+        self.operations.defaults = api_defaults(file)
+        self.door.settings = admission_settings(file)
         if self.host.keeper is not None:
-            self.host.keeper.rules = rules(replace(file, effects=self.file.effects))
+            self.host.keeper.rules = effect_rules(replace(file, effects=self.file.effects))
         self.admin.bounded.bounds = replace(
             self.admin.bounded.bounds,
             body_max=file.admin.body_max,
             rate_per_s=file.admin.rate_per_s,
             burst=file.admin.burst,
         )
-        self._move(file)
-        self.file = self._in_force(file)
+        self._apply_fixed_nodes(file)
+        self.file = self._settings_in_force(file)
         log.info("the operator file was taken over")
-        return fixed
+        return needs_restart
 
-    def _in_force(self, file: OperatorFile) -> OperatorFile:
-        """What holds now: of the new file only what was taken over."""
-        old = self.file
-        kept = {"boxes": old.fleet.boxes, "discovery": old.fleet.discovery}
+    def _settings_in_force(self, file: OperatorFile) -> OperatorFile:
+        """The settings in force: those in use, with the reloadable ones of the new file."""
+        current = self.file
+        unchanged = {"boxes": current.fleet.boxes, "discovery": current.fleet.discovery}
         return replace(
-            old,
+            current,
             tenants=file.tenants,
             classes=file.classes,
-            service=old.service.model_copy(
+            service=current.service.model_copy(
                 update={"in_hand": file.service.in_hand, "body_max": file.service.body_max}
             ),
-            admin=old.admin.model_copy(
+            admin=current.admin.model_copy(
                 update={
                     "body_max": file.admin.body_max,
                     "burst": file.admin.burst,
                     "rate_per_s": file.admin.rate_per_s,
                 }
             ),
-            fleet=file.fleet if listed(old) == listed(file) else file.fleet.model_copy(update=kept),
+            fleet=file.fleet
+            if has_fixed_nodes(current) == has_fixed_nodes(file)
+            else file.fleet.model_copy(update=unchanged),
         )
 
-    def _move(self, file: OperatorFile) -> None:
-        if listed(file) and listed(self.file) and file.fleet.boxes != self.file.fleet.boxes:
+    def _apply_fixed_nodes(self, file: OperatorFile) -> None:
+        if has_fixed_nodes(file) and has_fixed_nodes(self.file) and file.fleet.boxes != self.file.fleet.boxes:
             self.host.apply(file.listing(), ListKind.FULL)
 
     def stop(self) -> None:
+        """Leaves the fleet and drains; the loop ends once no request is in hand."""
         if self.membership is not None:
             self.membership.leave()
         self.host.stop()
 
-    def end(self) -> None:
-        """After the loop has ended: the administration, then the state."""
-        if self.flushing is not None:
-            self.flushing.cancel()
+    def close(self) -> None:
+        """Stops the administration and closes the state, after the loop has ended."""
+        if self.flush_timer is not None:
+            self.flush_timer.cancel()
         self.admin.stop()
         self.backend.thread.shutdown()
         used = self.directory.take_key_uses()
@@ -325,13 +333,13 @@
         self.db.close()
 
 
-def listed(file: OperatorFile) -> bool:
-    """Whether the fleet is a fixed list; from that to discovery, or back, needs a start."""
+def has_fixed_nodes(file: OperatorFile) -> bool:
+    """Whether the nodes are a static list; a change between that and discovery needs a restart."""
     return file.fleet.discovery is None
 
 
 def _write_secret(path: Path, text: str) -> None:
-    """A file that only its owner reads, whatever was there."""
+    """Writes a file that only its owner can read, replacing any file of that name."""
     with contextlib.suppress(FileNotFoundError):
         path.unlink()
     handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
@@ -343,13 +351,16 @@
 
 
 def serve(path: Path) -> int:
-    """Runs the hosted service by a file, until SIGTERM or SIGINT. 2: the file; 1: the state or an address."""
+    """Runs the hosted service until SIGTERM or SIGINT; returns the exit status.
+
+    2: invalid operator file; 1: the state cannot be opened or an address is in use.
+    """
     try:
         file = load(path)
     except FileFaults as error:
         print(error, file=sys.stderr)
         return 2
-    sys.setswitchinterval(SWITCH_S)
+    sys.setswitchinterval(SWITCH_INTERVAL_S)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     try:
@@ -361,7 +372,7 @@
         service.start()
     except OSError as error:
         print(f"notchflow: cannot listen: {error}", file=sys.stderr)
-        service.end()
+        service.close()
         return 1
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     loop.add_signal_handler(signal.SIGTERM, service.stop)
@@ -369,5 +380,5 @@
     try:
         loop.run_forever()
     finally:
-        service.end()
+        service.close()
     return 0
--- a/notchflow/tenancy/door.py
+++ b/notchflow/tenancy/door.py
@@ -167,12 +167,17 @@
     def __init__(
         self,
         directory: Directory,
-        face: Face,
+        settings: Face,
         pressure: Callable[[], float],
         run_id: bytes,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.directory, self.face, self.pressure, self.wall_clock = directory, face, pressure, wall_clock
+        self.directory, self.settings, self.pressure, self.wall_clock = (
+            directory,
+            settings,
+            pressure,
+            wall_clock,
+        )
         self.host: RequestHost | None = None
         self.memory: EffectMemory | None = None
         # Rejects every request while this instance may accept none.
@@ -252,18 +257,20 @@
         if entry.tenant.state is not TenantState.ACTIVE:
             return self.suspended if entry.tenant.state is TenantState.SUSPENDED else self.retiring
         length = call.headers.get(b"content-length")
-        if length is not None and int(length) > self.face.body_max:
+        if length is not None and int(length) > self.settings.body_max:
             return self._too_large()
         key = call.headers.get(b"idempotency-key")
         if key is not None and IDEMPOTENCY_KEY.fullmatch(key) is None:
             return reply(400, "bad-request", "Idempotency-Key has 1 to 200 visible ASCII characters.")
-        keyed = self.face.effects is not None and self.face.effects.get(match.route.cls) is Effect.KEYED
+        keyed = (
+            self.settings.effects is not None and self.settings.effects.get(match.route.cls) is Effect.KEYED
+        )
         if (keyed or match.route.key_required) and key is None:  # a repeat could not be recognised
             return reply(400, "idempotency-key-required", f"Class {match.route.cls} is known by its key.")
         return Ticket(self, entry, match, target)
 
     def _too_large(self) -> LocalReply:
-        return reply(413, "too-large", f"A body has at most {self.face.body_max} bytes.")
+        return reply(413, "too-large", f"A body has at most {self.settings.body_max} bytes.")
 
     # -- complete request
     def begin(self, call: ClientRequest) -> LocalReply | None:
@@ -277,7 +284,7 @@
         entry = ticket.entry
         if entry.tenant.state is not TenantState.ACTIVE:  # may have changed while the body was received
             return self.suspended if entry.tenant.state is TenantState.SUSPENDED else self.retiring
-        if call.body_size > self.face.body_max:
+        if call.body_size > self.settings.body_max:
             return self._too_large()
         if call.body_not_held and not ticket.over_limit:
             return self.busy  # the proxy's own buffer limit, not the tenant's
@@ -317,14 +324,14 @@
         self.last_number += 1
         entry, target = ticket.entry, ticket.target
         query = b"" if target.query is None else b"?" + target.query
-        call.url = b"%b/%b%b%b" % (self.face.prefix.encode(), entry.id_bytes, target.path.encode(), query)
+        call.url = b"%b/%b%b%b" % (self.settings.prefix.encode(), entry.id_bytes, target.path.encode(), query)
         headers = [
             line for line in call.forwarded_headers if line[: line.index(b":")].lower() not in NEVER_FORWARDED
         ]
         headers.append(
             b"Host: %b\r\nX-Call-Id: %b%08x\r\nX-Call-Class: %b\r\nX-Caller: %b\r\n"
             % (
-                self.face.host,
+                self.settings.host,
                 self.run_id,
                 self.last_number & 0xFFFFFFFF,
                 ticket.match.route.cls.encode(),
