--- a/notchflow/__main__.py
+++ b/notchflow/__main__.py
@@ -1,4 +1,4 @@
-"""The program: the platform's proxy, or a command. What each of them needs is imported for it alone."""
+"""The program: the platform's proxy, or a command. Each imports only what it needs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def proxy() -> int:
-    """Runs the platform's proxy. Where its socket is inherited another process may be serving meanwhile."""
+    """Runs the platform's proxy; returns its exit status.
+
+    With an inherited socket another process may still be serving on this machine, so imports are paced.
+    """
     if "ROUTER_ACCEPT_FD" in os.environ:
         with paced_imports():
             import notchflow.net.process  # noqa: F401
@@ -19,11 +22,11 @@
 
 
 def start() -> int:
-    """The platform's proxy where nothing else is asked for; its code alone is loaded then."""
+    """Runs the command given, or without one the platform's proxy, of which alone the code is then loaded."""
     if len(sys.argv) > 1:
-        from notchflow.cli import main as command
+        from notchflow.cli import main as run_command
 
-        return command(sys.argv[1:])
+        return run_command(sys.argv[1:])
     return proxy()
 
 
--- a/notchflow/cli.py
+++ b/notchflow/cli.py
@@ -1,4 +1,4 @@
-"""The command line. Each command loads what it needs, and no more."""
+"""The command line. Each command imports only what it needs."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from importlib.util import find_spec
 from pathlib import Path
 
-USAGE_EXIT = 2
-# Commands with a parser of their own, and where it is.
-PARTS = {
+EXIT_USAGE = 2
+# Commands with their own parser, and the module that has it.
+COMMAND_MODULES = {
     "admin": "notchflow.admin.client",
     "lab": "notchflow.emulator.command",
     "cluster": "notchflow.admin.cluster_client",
@@ -20,7 +20,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """The commands and their options."""
+    """The parser of the commands and their options."""
     top = argparse.ArgumentParser(
         prog="notchflow",
         description="A load-balancing proxy. Without a command, and with ROUTER_CONFIG "
@@ -54,9 +54,9 @@
     return top
 
 
-def _extras(command: str) -> str | None:
-    needed = ("fastapi", "uvicorn", "httpx", "rich", "numpy", "google_crc32c", "msgspec")
-    missing = [name for name in needed if find_spec(name) is None]
+def _missing_packages(command: str) -> str | None:
+    required = ("fastapi", "uvicorn", "httpx", "rich", "numpy", "google_crc32c", "msgspec")
+    missing = [name for name in required if find_spec(name) is None]
     if not missing:
         return None
     return (
@@ -80,7 +80,7 @@
         load(file)
     except FileFaults as error:
         print(error, file=sys.stderr)
-        return USAGE_EXIT
+        return EXIT_USAGE
     print(f"{file}: valid")
     return 0
 
@@ -88,26 +88,26 @@
 def _demo(seconds: float, rate: float, plain: bool) -> int:
     if rate <= 0:
         print(f"notchflow: --rate is {rate:g}; it must be above 0", file=sys.stderr)
-        return USAGE_EXIT
+        return EXIT_USAGE
     from notchflow.hosting.demo import run
 
     return run(seconds, rate, plain)
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs one command; its exit status."""
-    given = list(arguments)
-    if given[:1] and given[0] in PARTS:
-        problem = _extras(given[0])
-        if problem is not None:
-            print(problem, file=sys.stderr)
+    """Runs a command; returns its exit status."""
+    words = list(arguments)
+    if words[:1] and words[0] in COMMAND_MODULES:
+        error = _missing_packages(words[0])
+        if error is not None:
+            print(error, file=sys.stderr)
             return 1
-        run_part: Callable[[Sequence[str]], int] = import_module(PARTS[given[0]]).main
-        return run_part(given[1:])
-    options = parser().parse_args(given)
-    problem = _extras(options.command)
-    if problem is not None:
-        print(problem, file=sys.stderr)
+        run_command: Callable[[Sequence[str]], int] = import_module(COMMAND_MODULES[words[0]]).main
+        return run_command(words[1:])
+    options = parser().parse_args(words)
+    error = _missing_packages(options.command)
+    if error is not None:
+        print(error, file=sys.stderr)
         return 1
     if options.command == "serve":
         return _serve(options.file)
--- a/notchflow/hosting/__init__.py
+++ b/notchflow/hosting/__init__.py
@@ -1,1 +1,1 @@
-"""The hosted service: its operator file, and the process that serves by it."""
+"""The hosted service: its operator file, its process, and fleets of such processes on one machine."""
--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -1,4 +1,4 @@
-"""The operator file: read and checked whole. Each fault names its place, the value, and what is allowed."""
+"""Reads and validates the operator file. Each error names its place, the value, and what is allowed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from notchflow.cluster.addresses import parse_numeric_address as numeric
+from notchflow.cluster.addresses import parse_numeric_address
 from notchflow.cluster.identity import IdentityError, read_secret
 from notchflow.cluster.messages import SECRET_BYTES_MIN
 from notchflow.cluster.model import NAMES_MAX
@@ -28,16 +28,16 @@
 from notchflow.interface import Limits, Rules, Settings
 from notchflow.net.config import Config
 from notchflow.net.node_list import NodeList, decode_node_list, parse_address
-from notchflow.tenancy.routes import faults as route_faults
+from notchflow.tenancy.routes import faults as route_errors
 
 _T = TypeVar("_T")
 SECTIONS: Final = ("service", "listeners", "admin", "fleet", "classes", "tenants", "effects", "cluster")
-VALUE_SHOWN: Final = 60
+SHOWN_VALUE_LENGTH: Final = 60
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong with a file: where it stands, and what is wrong and allowed."""
+    """One error in a file: its place, and what is wrong and allowed."""
 
     place: str
     what: str
@@ -47,7 +47,7 @@
 
 
 class FileFaults(Exception):
-    """An operator file that cannot be used, with all its faults."""
+    """An invalid operator file, with all its errors."""
 
     def __init__(self, path: Path, faults: list[Fault]) -> None:
         super().__init__("\n".join(f"{path}: {fault}" for fault in faults))
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """An operator file that holds."""
+    """A valid operator file."""
 
     path: Path
     service: ServiceModel
@@ -71,16 +71,16 @@
 
     @property
     def effects_folder(self) -> Path | None:
-        """The store of effects, below the state folder; none where effects are not remembered."""
+        """The folder of the effect store, below the state folder; None without a section `effects`."""
         return self.state / self.effects.folder if self.effects is not None else None
 
     @property
     def state(self) -> Path:
-        """The state folder; a relative one is beside the file."""
+        """The state folder; a relative path starts at the file's folder."""
         return self.path.parent / self.service.state
 
-    def listing(self) -> NodeList:
-        """The fixed fleet in discovery's form; empty where discovery gives it."""
+    def static_node_list(self) -> NodeList:
+        """The static list of nodes in discovery's format; empty if discovery provides the nodes."""
         return decode_node_list(
             {
                 "revision": 0,
@@ -100,6 +100,7 @@
         )
 
     def settings(self) -> Settings:
+        """The policy's settings."""
         fleet = self.fleet
         return Settings(
             classes=tuple(c.core() for c in self.classes),
@@ -120,7 +121,7 @@
         )
 
     def config(self, seed: int) -> Config:
-        """What the proxy itself is told."""
+        """The configuration of the proxy itself."""
         first, *others = [parse_address(entry.address) for entry in self.listeners]
         return Config(
             name=self.service.name,
@@ -129,7 +130,7 @@
             discovery=parse_address(self.fleet.discovery) if self.fleet.discovery else None,
             seed=seed,
             settings=self.settings(),
-            known=self.listing(),
+            known=self.static_node_list(),
             conn_idle_ms=self.fleet.idle_ms,
             memory_mb=self.service.memory_mb,
             sockets=self.service.sockets,
@@ -138,12 +139,12 @@
 
 
 def load(path: Path) -> OperatorFile:
-    """Reads and checks a file; FileFaults holds all that is wrong with it."""
+    """Reads and validates a file. FileFaults."""
     return decode(read_toml(path), path)
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """A file's tables; FileFaults."""
+    """Parses a TOML file. FileFaults."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -153,6 +154,7 @@
 
 
 def decode(data: Mapping[str, Any], path: Path) -> OperatorFile:
+    """Validates parsed tables; `path` is where relative paths start. FileFaults."""
     faults = [
         Fault(name, f"unknown section; allowed: {', '.join(SECTIONS)}")
         for name in data
@@ -166,10 +168,10 @@
     tenants = _section(data, "tenants", TenantsModel, {}, faults)
     effects = _section(data, "effects", EffectsModel, None, faults) if "effects" in data else None
     cluster = _section(data, "cluster", ClusterModel, None, faults) if "cluster" in data else None
-    secret, wrong = _cluster_faults(cluster, path, listeners, admin, service)
-    faults += wrong
-    faults += _across(service, listeners, admin, fleet, classes, tenants)
-    faults += _effects_faults(effects, classes)
+    secret, found = _cluster_errors(cluster, path, listeners, admin, service)
+    faults += found
+    faults += _cross_section_errors(service, listeners, admin, fleet, classes, tenants)
+    faults += _effects_errors(effects, classes)
     if faults or None in (service, listeners, admin, fleet, classes, tenants):
         raise FileFaults(path, faults)
     assert service and listeners and admin and fleet and classes and tenants
@@ -183,7 +185,7 @@
     if value is None:
         faults.append(Fault(name, "is missing and has no default"))
         return None
-    if isinstance(value, list):  # TOML knows no tuples, and strict models take nothing else for one
+    if isinstance(value, list):  # TOML has no tuples, and strict models accept only a tuple for one
         value = tuple(value)
     try:
         return TypeAdapter(shape).validate_python(value)
@@ -193,20 +195,22 @@
 
 
 def place_of(section: str, loc: tuple[int | str, ...]) -> str:
+    """The place of a validation error, such as `fleet.boxes[0].id`."""
     return section + "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in loc)
 
 
 def what_of(error: dict[str, Any]) -> str:
+    """The text of a validation error: the value and what is allowed."""
     if error["type"] == "extra_forbidden":
         return "unknown name"
     if error["type"] == "missing":
         return "is missing and has no default"
     shown = repr(error["input"])
-    shown = shown if len(shown) <= VALUE_SHOWN else shown[:VALUE_SHOWN] + "..."
+    shown = shown if len(shown) <= SHOWN_VALUE_LENGTH else shown[:SHOWN_VALUE_LENGTH] + "..."
     return f"is {shown}; {error['msg'][0].lower()}{error['msg'][1:]}"
 
 
-def _address_fault(place: str, text: str) -> list[Fault]:
+def _address_errors(place: str, text: str) -> list[Fault]:
     try:
         parse_address(text)
     except ValueError as error:
@@ -214,7 +218,7 @@
     return []
 
 
-def _across(
+def _cross_section_errors(
     service: ServiceModel | None,
     listeners: tuple[ListenerModel, ...] | None,
     admin: AdminModel | None,
@@ -222,25 +226,25 @@
     classes: tuple[ClassModel, ...] | None,
     tenants: TenantsModel | None,
 ) -> list[Fault]:
-    """What only shows where parts are seen together; parts that are wrong by themselves are left out."""
+    """Errors between sections; sections that are invalid by themselves are None."""
     faults: list[Fault] = []
     places: dict[str, str] = {}
-    bound = [(f"listeners[{i}].address", entry.address) for i, entry in enumerate(listeners or ())]
-    bound += [("admin.address", admin.address)] if admin is not None else []
+    listen_addresses = [(f"listeners[{i}].address", entry.address) for i, entry in enumerate(listeners or ())]
+    listen_addresses += [("admin.address", admin.address)] if admin is not None else []
     if service is not None and service.console is not None:
-        bound.append(("service.console", service.console))
+        listen_addresses.append(("service.console", service.console))
     if listeners == ():
         faults.append(Fault("listeners", "is empty; at least one is needed"))
-    for place, address in bound:
-        faults += _address_fault(place, address)
+    for place, address in listen_addresses:
+        faults += _address_errors(place, address)
         if address in places:
             faults.append(Fault(place, f"is {address!r}, which {places[address]} is already"))
         places[address] = place
     if fleet is not None:
-        faults += _fleet_faults(fleet)
-    names = [c.name for c in classes or ()]
+        faults += _fleet_errors(fleet)
+    class_names = [c.name for c in classes or ()]
     for number, c in enumerate(classes or ()):
-        if c.name in names[:number]:
+        if c.name in class_names[:number]:
             faults.append(Fault(f"classes[{number}].name", f"is {c.name!r}, which another class has already"))
         if c.aim_ms > c.deadline_ms:
             faults.append(
@@ -258,36 +262,36 @@
     if classes == ():
         faults.append(Fault("classes", "is empty; at least one is needed"))
     if tenants is not None and classes is not None:
-        for place, what in route_faults([r.core() for r in tenants.routes], names):
+        for place, what in route_errors([r.core() for r in tenants.routes], class_names):
             index, _, field = place.partition(".")
             faults.append(Fault(f"tenants.routes[{index}].{field}" if place else "tenants.routes", what))
     return faults
 
 
-def _effects_faults(effects: EffectsModel | None, classes: tuple[ClassModel, ...] | None) -> list[Fault]:
+def _effects_errors(effects: EffectsModel | None, classes: tuple[ClassModel, ...] | None) -> list[Fault]:
     if effects is None:
         return []
-    short = [c for c in classes or () if c.effect == "keyed" and c.window_ms >= effects.keyed_s * 1e3]
+    too_long = [c for c in classes or () if c.effect == "keyed" and c.window_ms >= effects.keyed_s * 1e3]
     return [
         Fault(
             "effects.keyed_s",
             f"is {effects.keyed_s:g}; it must outlast the window of class " f"{c.name!r}, {c.window_ms:g} ms",
         )
-        for c in short
+        for c in too_long
     ]
 
 
-def _cluster_faults(
+def _cluster_errors(
     cluster: ClusterModel | None,
     path: Path,
     listeners: tuple[ListenerModel, ...] | None,
     admin: AdminModel | None,
     service: ServiceModel | None,
 ) -> tuple[bytes, list[Fault]]:
-    """The secret, and what is wrong with the section."""
+    """The secret, and the errors of the section."""
     if cluster is None:
         return b"", []
-    faults = _roster_faults(cluster)
+    faults = _roster_errors(cluster)
     taken = {entry.address: "a listener's" for entry in listeners or ()}
     taken |= {admin.address: "admin.address"} if admin is not None else {}
     taken |= {service.console: "service.console"} if service is not None and service.console else {}
@@ -298,15 +302,14 @@
     addresses = [("cluster.listen", cluster.listen)]
     addresses += [(f"cluster.seeds[{n}]", seed) for n, seed in enumerate(cluster.seeds)]
     addresses += [(f"cluster.addresses.{name}", text) for name, text in cluster.addresses.items()]
-    for where, text in addresses:
-        wrong = _address_fault(where, text)
-        faults += wrong
-        if not wrong and numeric(text) is None:
+    for place, text in addresses:
+        found = _address_errors(place, text)
+        faults += found
+        if not found and parse_numeric_address(text) is None:
             faults.append(
                 Fault(
-                    where,
-                    f"is {text!r}; a numeric address is needed, as asking for a "
-                    "name would hold up the proxy",
+                    place,
+                    f"is {text!r}; a numeric address is needed, as resolving a " "name would block the proxy",
                 )
             )
     try:
@@ -316,26 +319,27 @@
     return secret, faults
 
 
-def _roster_faults(cluster: ClusterModel) -> list[Fault]:
+def _roster_errors(cluster: ClusterModel) -> list[Fault]:
     faults, roster = [], cluster.roster
     if not 1 <= len(roster) <= NAMES_MAX:
         faults.append(Fault("cluster.roster", f"has {len(roster)} names; 1 to {NAMES_MAX}"))
-    twice = sorted(name for name, count in Counter(roster).items() if count > 1)
-    if twice:
-        faults.append(Fault("cluster.roster", f"holds {', '.join(twice)} twice; each name stands once"))
+    duplicates = sorted(name for name, count in Counter(roster).items() if count > 1)
+    if duplicates:
+        faults.append(Fault("cluster.roster", f"holds {', '.join(duplicates)} twice; each name stands once"))
     if roster and cluster.name not in roster:
         faults.append(
             Fault(
                 "cluster.roster",
-                f"lacks {cluster.name!r}, which is cluster.name; add it, as " "every instance counts itself",
+                f"lacks {cluster.name!r}, which is cluster.name; add it, as "
+                "the roster includes every instance",
             )
         )
     if len(roster) > 1 and not cluster.seeds and not cluster.addresses:
         faults.append(
             Fault(
                 "cluster.seeds",
-                "is empty, and so is cluster.addresses; nobody could be found: "
-                "name at least one other instance",
+                "is empty, and so is cluster.addresses; no other instance could be found: "
+                "name at least one",
             )
         )
     unknown = sorted(cluster.addresses.keys() - set(roster))
@@ -344,15 +348,15 @@
     return faults
 
 
-def _fleet_faults(fleet: FleetModel) -> list[Fault]:
+def _fleet_errors(fleet: FleetModel) -> list[Fault]:
     faults: list[Fault] = []
     if (fleet.discovery is None) == (not fleet.boxes):
         faults.append(Fault("fleet", "needs either discovery or boxes, and not both"))
     if fleet.discovery is not None:
-        faults += _address_fault("fleet.discovery", fleet.discovery)
+        faults += _address_errors("fleet.discovery", fleet.discovery)
     seen: set[str] = set()
     for number, box in enumerate(fleet.boxes):
-        faults += _address_fault(f"fleet.boxes[{number}].address", box.address)
+        faults += _address_errors(f"fleet.boxes[{number}].address", box.address)
         if box.id in seen:
             faults.append(Fault(f"fleet.boxes[{number}].id", f"is {box.id!r}, which another box has already"))
         seen.add(box.id)
--- a/notchflow/hosting/fleet.py
+++ b/notchflow/hosting/fleet.py
@@ -1,4 +1,4 @@
-"""Several instances of the service on this machine, each a process of its own with a folder of its own.
+"""A fleet of service instances on this machine, each in its own process with its own folder.
 
 Used by `notchflow fleet up`, the fault rig (`notchflow/faults/rig.py`), tests and benchmarks.
 """
@@ -21,15 +21,15 @@
 import httpx
 
 from notchflow.cluster.messages import SECRET_BYTES_MIN
-from notchflow.hosting.demo import FILE
+from notchflow.hosting.demo import FILE_TEMPLATE
 from notchflow.state.database import Database, Token
 from notchflow.tenancy.keys import ADMIN, KEY, mint
 from notchflow.tenancy.model import ApiKey, Limits, Tenant
 from standins.ports import free_ports
 
-READY_S: Final = 30.0
-END_S: Final = 10.0
-SECTION: Final = """
+START_TIMEOUT_S: Final = 30.0
+STOP_TIMEOUT_S: Final = 10.0
+CLUSTER_SECTION: Final = """
 [cluster]
 name = "{name}"
 listen = "127.0.0.1:{port}"
@@ -44,11 +44,13 @@
 
 
 class StartFailed(Exception):
-    """An instance did not start; the text has the end of its log."""
+    """An instance did not start; the message holds the end of its log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
+    """The ports of one instance."""
+
     clients: int
     admin: int
     cluster: int
@@ -56,7 +58,7 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One instance: its files, and its process from one start to the next."""
+    """One instance: its files, and its process, which may be started again."""
 
     name: str
     folder: Path
@@ -67,25 +69,29 @@
 
     @property
     def file(self) -> Path:
+        """Its operator file."""
         return self.folder / "service.toml"
 
     @property
     def history(self) -> Path:
+        """Its file of membership events."""
         return self.folder / "history.jsonl"
 
     @property
     def log(self) -> str:
+        """What it has logged, over all starts."""
         path = self.folder / "log"
         return path.read_text() if path.exists() else ""
 
     @property
     def running(self) -> bool:
+        """Whether its process exists, paused or not."""
         return self.process is not None and self.process.poll() is None
 
     def spawn(self, environment: Mapping[str, str] | None = None) -> None:
-        """Starts the process; its log is added to."""
+        """Starts the process, appending to its log."""
         with (self.folder / "log").open("ab") as log:
-            # A group of its own: Ctrl-C is for the one that started it, which ends it in good order.
+            # In its own session, so that Ctrl-C reaches only the starting process, which stops it gracefully.
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "notchflow", "serve", str(self.file)],
                 stderr=log,
@@ -95,13 +101,13 @@
         self.paused = False
 
     async def ready(self, joined: bool = True) -> None:
-        """Waits until clients are taken, or only until something listens. StartFailed."""
-        until = time.monotonic() + READY_S
+        """Waits until it accepts requests, or, if not `joined`, until it listens. StartFailed."""
+        deadline = time.monotonic() + START_TIMEOUT_S
         async with httpx.AsyncClient(trust_env=False) as http:
-            while time.monotonic() < until and self.running:
+            while time.monotonic() < deadline and self.running:
                 try:
-                    answer = await http.get(f"http://127.0.0.1:{self.ports.clients}/health/ready")
-                    if answer.status_code == 200 or not joined:
+                    response = await http.get(f"http://127.0.0.1:{self.ports.clients}/health/ready")
+                    if response.status_code == 200 or not joined:
                         return
                 except httpx.HTTPError:
                     pass
@@ -113,49 +119,53 @@
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """As when the machine is gone."""
+        """Sends SIGKILL and waits for the end, as if the machine had failed."""
         self._signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     def pause(self) -> None:
+        """Suspends the process (SIGSTOP)."""
         self._signal(signal.SIGSTOP)
         self.paused = True
 
     def resume(self) -> None:
+        """Resumes the process (SIGCONT)."""
         self._signal(signal.SIGCONT)
         self.paused = False
 
     def terminate(self) -> None:
+        """Sends SIGTERM, which starts a graceful stop."""
         self._signal(signal.SIGTERM)
 
     async def ended(self) -> int:
-        """Waits for the end after `terminate`; kills what does not come to one."""
+        """Waits for the end after `terminate`, kills the process if it takes too long; its exit status."""
         assert self.process is not None
         try:
-            return await asyncio.to_thread(self.process.wait, END_S)
+            return await asyncio.to_thread(self.process.wait, STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
             return self.process.returncode
 
     async def view(self) -> dict[str, Any] | None:
-        """`GET /v1/cluster`; None where it does not answer."""
+        """The body of `GET /v1/cluster`; None without an answer."""
         return await self.call("/v1/cluster")
 
     async def call(self, path: str, seconds: float = 2.0) -> dict[str, Any] | None:
+        """The body of a GET at the administration; None without an answer of status 200."""
         try:
             async with httpx.AsyncClient(trust_env=False, timeout=seconds) as http:
-                answer = await http.get(
+                response = await http.get(
                     f"http://127.0.0.1:{self.ports.admin}{path}",
                     headers={"Authorization": f"Bearer {self.token}"},
                 )
         except httpx.HTTPError:
             return None
-        return dict(answer.json()) if answer.status_code == 200 else None
+        return dict(response.json()) if response.status_code == 200 else None
 
 
 class Fleet:
-    """N instances with one roster, one secret, one operator's token and the same tenants."""
+    """Instances that share a roster, a secret, an operator token and the same tenants."""
 
     def __init__(
         self,
@@ -166,7 +176,7 @@
         more: str = "",
         limits: Limits | None = None,
     ) -> None:
-        """`more`: further lines of the section `cluster`."""
+        """`more`: additional lines of the section `cluster`."""
         self.folder, self.discovery, self.more = folder, discovery, more
         folder.mkdir(parents=True, exist_ok=True)
         self.names = [f"p{number + 1}" for number in range(count)]
@@ -176,22 +186,22 @@
         self.limits = limits
         self.instances: dict[str, Instance] = {}
         for number, name in enumerate(self.names):
-            own = Ports(*ports[3 * number : 3 * number + 3])
-            self.instances[name] = Instance(name, folder / name, own, self.operator.token)
+            instance_ports = Ports(*ports[3 * number : 3 * number + 3])
+            self.instances[name] = Instance(name, folder / name, instance_ports, self.operator.token)
         self.secret = folder / "cluster.secret"
-        self.books: dict[str, Mapping[str, str]] = {}
+        self.books: dict[str, Mapping[str, str]] = {}  # by instance: addresses of the others as it is told
 
     @property
     def tokens(self) -> dict[str, str]:
-        """Each tenant's key to the door."""
+        """Each tenant's API key."""
         return {tenant: key.token for tenant, key in self.keys.items()}
 
     def places(self) -> dict[str, tuple[str, int]]:
-        """Where each member's sockets are."""
+        """Host and port of each member's cluster sockets."""
         return {name: ("127.0.0.1", one.ports.cluster) for name, one in self.instances.items()}
 
     def prepare(self) -> None:
-        """Writes the secret, and each instance's file and state."""
+        """Writes the secret, and each instance's operator file and initial state."""
         if not self.secret.exists():
             handle = os.open(self.secret, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
             os.write(handle, secrets.token_bytes(SECRET_BYTES_MIN))
@@ -201,30 +211,33 @@
             self.fill(name)
 
     def write(self, name: str) -> None:
-        one = self.instances[name]
-        one.folder.mkdir(parents=True, exist_ok=True)
+        """Writes an instance's operator file."""
+        instance = self.instances[name]
+        instance.folder.mkdir(parents=True, exist_ok=True)
         book = self.books.get(name, {})
         seeds = (
             [f"127.0.0.1:{other.ports.cluster}" for other in self.instances.values()]
             if not book
             else list(book.values())
         )
-        text = FILE.format(port=one.ports.clients, admin=one.ports.admin, discovery=self.discovery)
-        one.file.write_text(
+        text = FILE_TEMPLATE.format(
+            port=instance.ports.clients, admin=instance.ports.admin, discovery=self.discovery
+        )
+        instance.file.write_text(
             text
-            + SECTION.format(
+            + CLUSTER_SECTION.format(
                 name=name,
-                port=one.ports.cluster,
+                port=instance.ports.cluster,
                 roster=", ".join(f'"{n}"' for n in self.names),
                 seeds=", ".join(f'"{seed}"' for seed in seeds[:3]),
                 secret=self.secret,
                 more=self.more,
-                addresses="\n".join(f'{n} = "{at}"' for n, at in book.items()),
+                addresses="\n".join(f'{n} = "{address}"' for n, address in book.items()),
             )
         )
 
     def fill(self, name: str) -> None:
-        """The same tenants, keys and operator's token for each instance; what is there stays."""
+        """Writes the tenants, keys and operator token into an instance's state, if it has none yet."""
         state = self.instances[name].folder / "state"
         if state.exists():
             return
@@ -237,42 +250,42 @@
         db.close()
 
     def lose_state(self, name: str) -> None:
-        """The folder is lost; the instance starts with none."""
+        """Replaces an instance's state by the initial one, as after the loss of its disk."""
         shutil.rmtree(self.instances[name].folder / "state", ignore_errors=True)
         self.fill(name)
 
     async def start(self) -> None:
-        """Starts all, and waits until each takes clients."""
+        """Starts all instances, and waits until each accepts requests."""
         for one in self.instances.values():
             one.spawn()
         await asyncio.gather(*(one.ready() for one in self.instances.values()))
 
     async def views(self) -> dict[str, dict[str, Any]]:
-        """What each running instance holds of the fleet."""
+        """The fleet as each running instance sees it, by name."""
         running = [one for one in self.instances.values() if one.running and not one.paused]
-        found = await asyncio.gather(*(one.view() for one in running))
-        return {one.name: view for one, view in zip(running, found, strict=True) if view is not None}
+        views = await asyncio.gather(*(one.view() for one in running))
+        return {one.name: view for one, view in zip(running, views, strict=True) if view is not None}
 
     async def agreed(self, seconds: float, living: int | None = None) -> float | None:
-        """Waits until all that run hold the same of the fleet, with so many members alive; seconds taken, or
-        None where it did not come."""
-        begun = time.monotonic()
-        while time.monotonic() - begun < seconds:
+        """Waits until all running instances have the same view, with `living` members alive (default: all
+        that run); returns the seconds taken, or None after `seconds`."""
+        started = time.monotonic()
+        while time.monotonic() - started < seconds:
             views = await self.views()
             running = [one for one in self.instances.values() if one.running and not one.paused]
             alive = {sum(m["state"] == "alive" for m in view["members"]) for view in views.values()}
-            wanted = len(running) if living is None else living
+            expected = len(running) if living is None else living
             if (
                 len(views) == len(running)
                 and len({v["view"] for v in views.values()}) == 1
-                and alive == {wanted}
+                and alive == {expected}
             ):
-                return time.monotonic() - begun
+                return time.monotonic() - started
             await asyncio.sleep(0.02)
         return None
 
     async def stop(self) -> None:
-        """Ends all in good order."""
+        """Stops all instances gracefully."""
         running = [one for one in self.instances.values() if one.running]
         for one in running:
             one.resume()
@@ -280,6 +293,6 @@
         await asyncio.gather(*(one.ended() for one in running))
 
     def kill(self) -> None:
-        """Ends all at once; for a caller that cannot wait."""
+        """Kills all instances."""
         for one in self.instances.values():
             one.kill()
--- a/notchflow/hosting/schema.py
+++ b/notchflow/hosting/schema.py
@@ -1,6 +1,6 @@
-"""Shapes that an operator or an API client writes: strict, with the bounds that every field has.
+"""Strict models of what operators and API clients write, with the bounds of each field.
 
-Meanings, units and defaults stand in docs/operators/hosting.md.
+docs/operators/hosting.md describes meanings, units and defaults.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Strict(BaseModel):
-    """Unknown names are faults, and no value is bent into another type."""
+    """Base model: unknown names are errors, and values are not converted to another type."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
@@ -43,10 +43,12 @@
     weight: float = Field(1.0, gt=0, le=1e6, description="part of the proxy under pressure, against others")
 
     def core(self) -> Limits:
+        """The limits as the tenancy package has them."""
         return Limits(**self.model_dump())
 
     @classmethod
     def of(cls, limits: Limits) -> LimitsModel:
+        """The model of limits."""
         return cls(
             rate_per_s=limits.rate_per_s,
             burst=limits.burst,
@@ -68,10 +70,12 @@
     )
 
     def core(self) -> Route:
+        """The route as the tenancy package has it."""
         return Route(self.method, self.path, self.cls, tuple(self.key), self.idempotency == "required")
 
     @classmethod
     def of(cls, route: Route) -> RouteModel:
+        """The model of a route."""
         return cls.model_validate(
             {
                 "method": route.method,
@@ -97,6 +101,7 @@
     window_ms: float = Field(0.0, ge=0)
 
     def core(self) -> RequestClass:
+        """The class as the policy has it."""
         return RequestClass(
             self.name,
             self.aim_ms,
@@ -108,7 +113,7 @@
 
 
 class ServiceModel(Strict):
-    """The process."""
+    """The process: its name, state folder and resource limits."""
 
     name: str = Field("hosted", pattern=r"^[A-Za-z0-9._-]{1,64}$")
     state: str = Field("state", min_length=1)
@@ -120,7 +125,7 @@
 
 
 class EffectsModel(Strict):
-    """The memory of effects; without this section there is none."""
+    """The effect memory; without this section, effects are not remembered."""
 
     folder: str = Field("effects", min_length=1)
     unsafe_s: float = Field(86_400.0, gt=0, le=31_536_000)
@@ -133,7 +138,7 @@
 
 
 class ClusterModel(Strict):
-    """The fleet that this instance is a member of; without this section it is by itself."""
+    """The fleet that this instance is a member of; without this section it runs alone."""
 
     name: MemberName
     listen: Address
@@ -149,19 +154,20 @@
     history: str | None = None
 
     def core(self) -> Settings:
+        """The settings as the cluster package has them."""
         return Settings(
             contact_ms=self.contact_ms, probe_timeout_ms=self.probe_timeout_ms, suspicion_ms=self.suspicion_ms
         )
 
 
 class ListenerModel(Strict):
-    """An address where clients connect."""
+    """A listener for clients."""
 
     address: Address
 
 
 class BoxModel(Strict):
-    """A box of a fixed fleet."""
+    """A node of a static list."""
 
     id: str = Field(min_length=1, max_length=128)
     address: Address
@@ -171,7 +177,7 @@
 
 
 class FleetModel(Strict):
-    """The boxes: from discovery, or a fixed list."""
+    """The nodes, from discovery or as a static list, and the policy's settings for them."""
 
     discovery: Address | None = None
     boxes: list[BoxModel] = Field(default_factory=list)
@@ -202,7 +208,7 @@
 
 
 class TenantsModel(Strict):
-    """What a tenant has that states nothing of its own."""
+    """Defaults for tenants without limits or routes of their own."""
 
     limits: LimitsModel = LimitsModel()
     routes: list[RouteModel] = Field(default_factory=list)
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -309,7 +309,7 @@
 
     def _apply_fixed_nodes(self, file: OperatorFile) -> None:
         if has_fixed_nodes(file) and has_fixed_nodes(self.file) and file.fleet.boxes != self.file.fleet.boxes:
-            self.host.apply(file.listing(), ListKind.FULL)
+            self.host.apply(file.static_node_list(), ListKind.FULL)
 
     def stop(self) -> None:
         """Leaves the fleet and drains; the loop ends once no request is in hand."""
--- a/tests/hosting/test_file.py
+++ b/tests/hosting/test_file.py
@@ -37,7 +37,7 @@
         "order-pay": Effect.UNSAFE,
     }
     assert file.state == SAMPLE.parent / "state"
-    assert file.config(1).discovery is None and file.listing().members
+    assert file.config(1).discovery is None and file.static_node_list().members
 
 
 def test_all_faults_are_told_at_once() -> None:
