--- a/tests/hosting/rig.py
+++ b/tests/hosting/rig.py
@@ -1,4 +1,4 @@
-"""The hosted service as a process of its own between scripted boxes, and clients of both its listeners."""
+"""Runs the hosted service as a process with scripted nodes, and clients for both its listeners."""
 
 from __future__ import annotations
 
@@ -75,8 +75,8 @@
 """
 
 
-class Held:
-    """A box's script that answers each request only when it is let go."""
+class HeldResponses:
+    """A node's script that answers each request only once its event is set."""
 
     def __init__(self) -> None:
         self.requests: list[asyncio.Event] = []
@@ -88,7 +88,7 @@
 
 
 class Service:
-    """`notchflow serve` with its fleet. File and state stay in `folder` from one start to the next."""
+    """`notchflow serve` with its nodes. The operator file and the state in `folder` outlive a restart."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         return [sys.executable, "-m", "notchflow", "serve", str(file or self.file)]
 
     async def start(self) -> None:
-        """Starts the process and waits for both listeners."""
+        """Starts the process and waits until both listeners accept connections."""
         self.process = subprocess.Popen(
             self.command(),
             cwd=ROOT,
@@ -155,17 +155,17 @@
         )
 
     async def _ready(self) -> bool:
-        """The list of boxes has been heard too."""
+        """Whether the service is ready and has received the list of all nodes."""
         try:
             async with httpx.AsyncClient(trust_env=False) as http:
-                ready = await http.get(f"http://127.0.0.1:{self.port}/health/ready")
+                readiness = await http.get(f"http://127.0.0.1:{self.port}/health/ready")
                 await http.get(f"http://127.0.0.1:{self.admin_port}/openapi.json")
         except httpx.HTTPError:
             return False
-        return ready.status_code == 200 and len(self.registry.told) == len(self.boxes)
+        return readiness.status_code == 200 and len(self.registry.told) == len(self.boxes)
 
     async def kill(self) -> None:
-        """As the machine would."""
+        """Sends SIGKILL and waits for the end."""
         assert self.process is not None
         self.process.kill()
         await asyncio.to_thread(self.process.wait)
@@ -186,23 +186,23 @@
 
     # -- the administration
     async def add(self, *tenants: str, **more: Any) -> None:
-        """Makes tenants, each with a key."""
+        """Creates tenants, each with a key."""
         for tenant in tenants:
-            made = await self.api.post("/v1/tenants", json={"id": tenant} | more)
-            assert made.status_code == 201, made.text
+            response = await self.api.post("/v1/tenants", json={"id": tenant} | more)
+            assert response.status_code == 201, response.text
             await self.issue(tenant)
 
     async def issue(self, tenant: str) -> str:
-        """A new key, by which the tenant asks from now on; its id."""
-        made = await self.api.post(f"/v1/tenants/{tenant}/keys", json={})
-        assert made.status_code == 201, made.text
-        self.tokens[tenant] = made.json()["token"]
-        return str(made.json()["id"])
+        """Issues a key that the tenant's requests use from now on; returns its ID."""
+        response = await self.api.post(f"/v1/tenants/{tenant}/keys", json={})
+        assert response.status_code == 201, response.text
+        self.tokens[tenant] = response.json()["token"]
+        return str(response.json()["id"])
 
     async def tenant(self, tenant: str) -> dict[str, Any]:
-        found = await self.api.get(f"/v1/tenants/{tenant}")
-        assert found.status_code == 200, found.text
-        return dict(found.json())
+        response = await self.api.get(f"/v1/tenants/{tenant}")
+        assert response.status_code == 200, response.text
+        return dict(response.json())
 
     async def change(self, tenant: str, method: str = "PATCH", **changes: Any) -> httpx.Response:
         version = (await self.tenant(tenant))["version"]
@@ -230,7 +230,7 @@
         client = client or await self.connect()
         client.writer.write(self.request(tenant, **more))
         seen = await client.receive()
-        assert seen is not None, "the connection ended without an answer"
+        assert seen is not None, "the connection ended without a response"
         return seen
 
     @property
--- a/tests/hosting/test_cluster.py
+++ b/tests/hosting/test_cluster.py
@@ -1,4 +1,4 @@
-"""The section `cluster`: what is wrong with it is told before anything listens; one instance by its API."""
+"""The section `cluster`: validated before anything listens; fleets of processes seen through their APIs."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 }
 
 
-def faults(folder: Path, **changes: Any) -> list[str]:
+def errors_of(folder: Path, **changes: Any) -> list[str]:
     section = {name: value for name, value in (CLUSTER | changes).items() if value is not None}
     try:
         decode(BASE | {"cluster": section}, folder / "service.toml")
@@ -51,17 +51,17 @@
     return tmp_path
 
 
-def test_a_section_that_holds_is_taken(folder: Path) -> None:
-    assert faults(folder) == []
-    assert faults(folder, seeds=[], addresses={"p2": "127.0.0.1:6"}) == []
-    assert faults(folder, roster=["p1"], seeds=[]) == []
+def test_a_valid_section_is_accepted(folder: Path) -> None:
+    assert errors_of(folder) == []
+    assert errors_of(folder, seeds=[], addresses={"p2": "127.0.0.1:6"}) == []
+    assert errors_of(folder, roster=["p1"], seeds=[]) == []
     many = [f"p{n}" for n in range(1_024)]
     seeds = [f"127.0.{n // 250}.{n % 250 + 1}:7946" for n in range(1_024)]
-    assert faults(folder, roster=many, seeds=seeds) == [], "a fleet of over a thousand"
+    assert errors_of(folder, roster=many, seeds=seeds) == [], "a fleet of over a thousand"
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "expected"),
     [
         ({"roster": ["p2", "p3"]}, "cluster.roster: lacks 'p1', which is cluster.name; add it"),
         ({"roster": ["p1", "p2", "p2"]}, "cluster.roster: holds p2 twice"),
@@ -79,16 +79,14 @@
         ({"colour": "red"}, "cluster.colour: unknown name"),
     ],
 )
-def test_what_is_wrong_is_told_with_place_value_and_remedy(
-    folder: Path, changes: dict[str, Any], told: str
-) -> None:
-    found = faults(folder, **changes)
-    assert len(found) == 1 and found[0].startswith(told), found
+def test_an_error_names_place_value_and_remedy(folder: Path, changes: dict[str, Any], expected: str) -> None:
+    found = errors_of(folder, **changes)
+    assert len(found) == 1 and found[0].startswith(expected), found
 
 
-def test_all_that_is_wrong_is_told_at_once(folder: Path) -> None:
+def test_all_errors_are_reported_at_once(folder: Path) -> None:
     (folder / "secret").chmod(0o644)
-    found = faults(folder, roster=["p2", "p2"], listen="127.0.0.1:2")
+    found = errors_of(folder, roster=["p2", "p2"], listen="127.0.0.1:2")
     assert [text.partition(":")[0] for text in found] == [
         "cluster.roster",
         "cluster.roster",
@@ -98,7 +96,7 @@
     assert "chmod 600" in found[-1]
 
 
-def test_an_address_in_use_ends_the_start_with_its_place(tmp_path: Path) -> None:
+def test_an_address_in_use_ends_the_start_with_an_error(tmp_path: Path) -> None:
     async def test() -> None:
         registry = Registry()
         await registry.start()
@@ -122,7 +120,7 @@
     run(test(), 60)
 
 
-def test_a_disk_that_is_full_costs_the_history_and_a_folder_that_cannot_be_made_the_start(
+def test_a_full_disk_stops_the_history_and_an_unusable_folder_the_start(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -145,8 +143,8 @@
     run(test(), 60)
 
 
-def test_requests_in_hand_of_a_tenant_are_bounded_over_the_fleet(tmp_path: Path) -> None:
-    """Six may be in hand; two instances are asked for ten each at once, of a box that takes its time."""
+def test_requests_in_hand_of_a_tenant_are_limited_over_the_fleet(tmp_path: Path) -> None:
+    """The limit is six; two instances get ten requests each at once, for a slow node."""
 
     async def test() -> None:
         registry = Registry()
@@ -169,8 +167,8 @@
                     for number in range(10)
                 )
             )
-        taken = [answer for answer in answers if answer.status_code != 429]
-        assert 4 <= len(taken) <= 6
+        admitted = [answer for answer in answers if answer.status_code != 429]
+        assert 4 <= len(admitted) <= 6
         assert {answer.json()["limit"] for answer in answers if answer.status_code == 429} == {"in-hand"}
         await fleet.stop()
         box.stop()
@@ -179,8 +177,8 @@
     run(test(), 60)
 
 
-async def _usage(fleet: Fleet) -> None:
-    """Asked for at three, the figures are the fleet's at each, and stay so where one is killed."""
+async def _check_fleet_usage(fleet: Fleet) -> None:
+    """Each of three instances gets requests; all report the fleet's metrics, also after one is killed."""
     token = fleet.tokens["alfa"]
     async with httpx.AsyncClient(trust_env=False) as http:
         for number, one in enumerate(fleet.instances.values(), 1):
@@ -190,35 +188,38 @@
                     headers={"Authorization": f"Bearer {token}"},
                 )
 
-    async def told(name: str) -> dict[str, Any]:
+    async def fleet_usage(name: str) -> dict[str, Any]:
         found = await fleet.instances[name].call("/v1/tenants/alfa/usage")
         assert found is not None
         return dict(found["fleet"])
 
-    async def classes(name: str) -> int:
+    async def class_total(name: str) -> int:
         view = await fleet.instances[name].view()
         assert view is not None
         return sum(
-            of["fulfilled"] + of["throttled"] + of["faulted"] for of in view["figures"]["classes"].values()
+            counts["fulfilled"] + counts["throttled"] + counts["faulted"]
+            for counts in view["figures"]["classes"].values()
         )
 
     async with asyncio.timeout(20):
-        while [(await told(name))["asked"] for name in fleet.names] != [6, 6, 6]:
+        while [(await fleet_usage(name))["asked"] for name in fleet.names] != [6, 6, 6]:
             await asyncio.sleep(0.05)
-        while [await classes(name) for name in fleet.names] != [6, 6, 6]:
+        while [await class_total(name) for name in fleet.names] != [6, 6, 6]:
             await asyncio.sleep(0.05)
-        assert (await told("p1"))["missing"] == []
+        assert (await fleet_usage("p1"))["missing"] == []
         fleet.instances["p3"].kill()
-        while (await told("p1"))["missing"] != ["p3"]:
+        while (await fleet_usage("p1"))["missing"] != ["p3"]:
             await asyncio.sleep(0.05)
-        assert (await told("p1"))["asked"] == 6
+        assert (await fleet_usage("p1"))["asked"] == 6
         fleet.instances["p3"].spawn()
         await fleet.instances["p3"].ready()
-        while [(await told(name))["asked"] for name in fleet.names] != [6, 6, 3]:
-            await asyncio.sleep(0.05)  # p3 knows nothing of its own former life; the others do
+        while [(await fleet_usage(name))["asked"] for name in fleet.names] != [6, 6, 3]:
+            await asyncio.sleep(
+                0.05
+            )  # p3 has lost the counts of its former incarnation; the others have them
 
 
-def test_one_instance_tells_of_the_fleet_by_its_api_its_console_and_the_command_line(tmp_path: Path) -> None:
+def test_one_instance_shows_the_fleet_by_its_api_its_console_and_the_command_line(tmp_path: Path) -> None:
     async def test() -> None:
         registry = Registry()
         await registry.start()
@@ -232,9 +233,9 @@
         assert [m["name"] for m in view["members"]] == ["p1", "p2", "p3"]
         assert {m["state"] for m in view["members"]} == {"alive"}
         assert view["bounds"].keys() == {"contact_ms", "detection_ms", "heal_ms", "one_name_ms", "lent_ms"}
-        told = tmp_path / "token"
-        told.write_text(one.token)
-        ask = [
+        token_file = tmp_path / "token"
+        token_file.write_text(one.token)
+        command = [
             sys.executable,
             "-m",
             "notchflow",
@@ -242,21 +243,21 @@
             "--url",
             f"http://127.0.0.1:{one.ports.admin}",
             "--token-file",
-            str(told),
+            str(token_file),
         ]
 
         def call(*rest: str, code: int = 0) -> str:
-            done = subprocess.run([*ask, *rest], cwd=ROOT, capture_output=True, text=True, timeout=30)
+            done = subprocess.run([*command, *rest], cwd=ROOT, capture_output=True, text=True, timeout=30)
             assert done.returncode == code, done.stderr
             return done.stdout + done.stderr
 
-        async with asyncio.timeout(20):  # the first figures come half a second after the start
+        async with asyncio.timeout(20):  # the first metrics update is sent half a second after the start
             while (await one.view() or {"figures": {"missing": ["?"]}})["figures"]["missing"]:
                 await asyncio.sleep(0.05)
         shown = call("members")
         assert "standing" in shown and "alive" in shown and "bounds" in shown
         assert "missing: nobody" in call("figures")
-        ask.insert(4, "--json")
+        command.insert(4, "--json")
         assert json.loads(call("members"))["name"] == "p2"
         assert json.loads(call("figures"))["missing"] == []
         assert "p1=alive" in call("watch", "--seconds", "0.1")
@@ -265,7 +266,7 @@
         assert {line["who"] for line in lines} == {"p1", "p2", "p3"}
         assert [line["t"] for line in lines] == sorted(line["t"] for line in lines)
         assert "no such file" in call("history", "nowhere", code=2)
-        async with asyncio.timeout(20):  # the module counts on as many proxies as are there
+        async with asyncio.timeout(20):  # the policy of each instance is given the size of the fleet
             while {v["balancers"] for v in (await fleet.views()).values()} != {3}:
                 await asyncio.sleep(0.05)
         async with httpx.AsyncClient(trust_env=False) as http:
@@ -275,7 +276,7 @@
             "whole",
             "p2",
         )
-        await _usage(fleet)
+        await _check_fleet_usage(fleet)
         one.terminate()
         assert await one.ended() == 0
         assert "cluster: " in call("members", code=1)
--- a/tests/hosting/test_commands.py
+++ b/tests/hosting/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line over processes: the demo, the API's client, and ten thousand tenants."""
+"""Commands run as processes: the demo and the administration client; a start with ten thousand tenants."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.rig import run
 
 LONG = 60.0
-MANY = 10_000
+TENANT_COUNT = 10_000
 
 
 def start(*arguments: str) -> subprocess.Popen[str]:
@@ -32,7 +32,7 @@
     )
 
 
-def test_the_demo_serves_every_class_tenant_and_box_and_ends_by_itself() -> None:
+def test_the_demo_serves_every_class_tenant_and_node_and_ends_after_its_time() -> None:
     process = start("demo", "--seconds", "3", "--plain", "--rate", "100")
     out, err = process.communicate(timeout=LONG)
     assert process.returncode == 0, err
@@ -50,20 +50,20 @@
     process.send_signal(signal.SIGINT)
     out, err = process.communicate(timeout=LONG)
     assert process.returncode == 0 and "Traceback" not in err
-    assert "draining" in err, "the service was ended in good order"
+    assert "draining" in err, "the service was stopped gracefully"
 
 
-def test_a_demo_without_a_rate_is_told() -> None:
+def test_a_demo_without_a_rate_is_an_error() -> None:
     process = start("demo", "--rate", "0")
     _, err = process.communicate(timeout=LONG)
     assert process.returncode == 2 and "must be above 0" in err
 
 
-def test_the_client_carries_out_every_command(tmp_path: Path) -> None:
+def test_the_administration_client_runs_every_command(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path) as service:
             token = service.api.headers["Authorization"].removeprefix("Bearer ")
-            told = os.environ | {
+            environment = os.environ | {
                 "NOTCHFLOW_TOKEN": token,
                 "COLUMNS": "250",
                 "NOTCHFLOW_ADMIN": f"http://127.0.0.1:{service.admin_port}",
@@ -74,7 +74,7 @@
                     subprocess.run,
                     [sys.executable, "-m", "notchflow", "admin", *words],
                     cwd=ROOT,
-                    env=told,
+                    env=environment,
                     capture_output=True,
                     text=True,
                     timeout=30,
@@ -104,21 +104,21 @@
             await admin("keys", "revoke", "alfa", key["id"])
             assert (await service.ask("alfa")).status == 401
             own = json.loads(await admin("--json", "tokens", "issue", "--tenant", "alfa"))
-            told["NOTCHFLOW_TOKEN"] = own["token"]
+            environment["NOTCHFLOW_TOKEN"] = own["token"]
             assert "(403)" in await admin("tenants", "retire", "alfa", code=1)
             assert "(404)" in await admin("tenants", "show", "beta", code=1)
-            told["NOTCHFLOW_TOKEN"] = token
+            environment["NOTCHFLOW_TOKEN"] = token
             assert "retiring" in await admin("tenants", "retire", "alfa")
             assert "no token" in await admin("--token-file", str(service.file), "tenants", "list", code=2)
             assert "no token" in await admin("--token-file", os.devnull, "tenants", "list", code=2)
-            told["NOTCHFLOW_ADMIN"] = "http://127.0.0.1:1"
+            environment["NOTCHFLOW_ADMIN"] = "http://127.0.0.1:1"
             assert "127.0.0.1:1" in await admin("tenants", "list", code=1)
 
     run(test(), LONG)
 
 
 def test_ten_thousand_tenants_are_served_from_the_start(tmp_path: Path) -> None:
-    minted = [mint(KEY) for _ in range(MANY)]
+    minted = [mint(KEY) for _ in range(TENANT_COUNT)]
     db = Database(tmp_path / "state")
     with db.change():
         for number, key in enumerate(minted):
@@ -128,7 +128,7 @@
 
     async def test() -> None:
         async with Service(tmp_path) as service:
-            for number in (0, MANY // 2, MANY - 1):
+            for number in (0, TENANT_COUNT // 2, TENANT_COUNT - 1):
                 name = f"tenant-{number:05}"
                 service.tokens[name] = minted[number].token
                 assert (await service.ask(name)).status == 200
--- a/tests/hosting/test_effects.py
+++ b/tests/hosting/test_effects.py
@@ -1,4 +1,4 @@
-"""The memory of effects in the service as a process: repeats, crashes, a full disk."""
+"""The effect memory in a running service: repeated requests, crashes and damaged stores."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from pathlib import Path
 
 from standins.ports import free_ports
-from tests.hosting.rig import Held, Service
+from tests.hosting.rig import HeldResponses, Service
 from tests.rig import Client, Seen, answer, run, serve_value, until
 
-ON = "[effects]\nunsafe_s = 3600.0\nkeyed_s = 600.0\nsegment_mb = 0.25"
+EFFECTS_SECTION = "[effects]\nunsafe_s = 3600.0\nkeyed_s = 600.0\nsegment_mb = 0.25"
 PAY = {"method": "POST", "path": "/orders/d1/pay", "body": b"due=1"}
 KILLS = 100 if os.environ.get("NOTCHFLOW_LONG") else 6
 
@@ -21,17 +21,17 @@
     return await service.ask("alfa", client, **(PAY | {"key": key} | more))
 
 
-async def in_hand(service: Service, held: Held) -> Client:
-    """A client whose payment is at a box that does not answer."""
+async def send_unanswered_payment(service: Service, held: HeldResponses) -> Client:
+    """A client whose payment is in hand at a node that does not answer."""
     client = await service.connect()
     client.writer.write(service.request("alfa", **PAY, key="o-1"))  # type: ignore[arg-type]
     await until(lambda: held.requests)
     return client
 
 
-def test_a_repeat_of_a_payment_is_told_its_fate_also_by_another_process(tmp_path: Path) -> None:
+def test_a_repeated_payment_gets_its_outcome_also_after_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Service(tmp_path, serve_value, service=ON) as service:
+        async with Service(tmp_path, serve_value, service=EFFECTS_SECTION) as service:
             await service.add("alfa", "beta")
             first = await pay(service, "o-1")
             assert first.status == 200 and first.body.startswith(b"value of")
@@ -40,8 +40,8 @@
             assert again.body == b'{"fate": "served", "status": 200}'
             other = await pay(service, "o-1", body=b"due=2")
             assert other.status == 422 and b"idempotency-key-reused" in other.body
-            theirs = await service.ask("beta", **PAY, key="o-1")  # type: ignore[arg-type]
-            assert theirs.status == 200, "another tenant's key is its own"
+            other_tenant = await service.ask("beta", **PAY, key="o-1")  # type: ignore[arg-type]
+            assert other_tenant.status == 200, "keys of different tenants are independent"
             await service.kill()
             await service.start()
             again = await pay(service, "o-1")
@@ -53,12 +53,12 @@
     run(test(), 40)
 
 
-def test_a_repeat_while_the_first_is_in_hand_is_not_sent(tmp_path: Path) -> None:
+def test_a_repeat_while_the_first_request_is_in_hand_is_not_sent(tmp_path: Path) -> None:
     async def test() -> None:
-        held = Held()
-        async with Service(tmp_path, held, service=ON) as service:
+        held = HeldResponses()
+        async with Service(tmp_path, held, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
-            client = await in_hand(service, held)
+            client = await send_unanswered_payment(service, held)
             again = await pay(service, "o-1")
             assert again.status == 409 and b'"fate": "in-hand"' in again.body
             assert int(again.headers["retry-after"]) >= 1
@@ -71,26 +71,26 @@
     run(test(), 40)
 
 
-def test_killed_between_send_and_answer_the_repeat_is_not_sent(tmp_path: Path) -> None:
-    """The first attempt still runs at the box when the client's retry reaches the new process."""
+def test_after_a_kill_between_send_and_response_the_repeat_is_not_sent(tmp_path: Path) -> None:
+    """The first attempt may still run at the node when the client's retry reaches the new process."""
 
     async def test() -> None:
-        held = Held()
-        async with Service(tmp_path, held, service=ON) as service:
+        held = HeldResponses()
+        async with Service(tmp_path, held, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
-            await in_hand(service, held)
+            await send_unanswered_payment(service, held)
             await service.kill()
             await service.start()
             again = await pay(service, "o-1")
             assert again.status == 409 and b'"fate": "unknown"' in again.body
             held.requests[0].set()
-            assert (await pay(service, "o-1")).status == 409, "nobody can say what became of it"
+            assert (await pay(service, "o-1")).status == 409, "whether it ran stays unknown"
             assert len(service.sent) == 1
 
     run(test(), 40)
 
 
-def test_a_refused_payment_may_go_again_and_one_whose_box_broke_off_may_not(tmp_path: Path) -> None:
+def test_a_rejected_payment_may_be_repeated_and_one_that_was_reset_may_not(tmp_path: Path) -> None:
     async def test() -> None:
         async def full(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"", "503 Service Unavailable", X_Rejected="1"))
@@ -98,7 +98,7 @@
         async def breaks(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        async with Service(tmp_path, full, service=ON) as service:
+        async with Service(tmp_path, full, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
             refused = await pay(service, "o-1")
             assert refused.status == 503
@@ -114,7 +114,7 @@
 
 def test_a_keyed_write_is_sent_again_within_its_window(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Service(tmp_path, serve_value, service=ON) as service:
+        async with Service(tmp_path, serve_value, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
             slots = {"method": "PUT", "path": "/menus/d1/slots", "body": b"7"}
             assert (await service.ask("alfa", **slots, key="s-1")).status == 200  # type: ignore[arg-type]
@@ -127,21 +127,21 @@
 
 def test_a_route_may_require_a_key(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Service(tmp_path, serve_value, service=ON) as service:
+        async with Service(tmp_path, serve_value, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
             strict = {"method": "POST", "path": "/orders/d1/strict", "body": b"due=1"}
             missing = await service.ask("alfa", **strict)  # type: ignore[arg-type]
             assert missing.status == 400 and b"idempotency-key-required" in missing.body
             assert (await service.ask("alfa", **strict, key="o-1")).status == 200  # type: ignore[arg-type]
-            free = await service.ask("alfa", **PAY)  # type: ignore[arg-type]
-            assert free.status == 200, "elsewhere it need not be sent"
+            optional = await service.ask("alfa", **PAY)  # type: ignore[arg-type]
+            assert optional.status == 200, "other routes of the class need no key"
 
     run(test(), 40)
 
 
-def test_a_damaged_store_keeps_the_service_from_starting_and_says_what_to_do(tmp_path: Path) -> None:
+def test_a_damaged_store_prevents_the_start_and_the_error_names_the_remedy(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Service(tmp_path, serve_value, service=ON) as service:
+        async with Service(tmp_path, serve_value, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
             for n in range(3):
                 await pay(service, f"o-{n}")
@@ -153,15 +153,15 @@
             process = await asyncio.create_subprocess_exec(
                 *service.command(), stderr=asyncio.subprocess.PIPE, cwd=Path.cwd()
             )
-            _, told = await process.communicate()
+            _, errors = await process.communicate()
             assert process.returncode == 1
-            assert b"notchflow store check" in told and path.name.encode() in told and b"offset" in told
+            assert b"notchflow store check" in errors and path.name.encode() in errors and b"offset" in errors
 
     run(test(), 40)
 
 
-class Kitchen:
-    """A box that counts what it runs under each key, and answers late, breaks off or turns away at times."""
+class UnreliableNode:
+    """A node that counts runs by idempotency key, and at random delays, resets or rejects requests."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.ran = random.Random(seed), Counter[str]()
@@ -180,19 +180,18 @@
 
 
 def test_no_payment_runs_twice_however_often_the_service_is_killed(tmp_path: Path) -> None:
-    """Clients send each payment until they are told its fate: a repeat after every refusal, break and
-    silence."""
+    """Clients repeat each payment after every rejection, reset and timeout until they learn its outcome."""
 
     async def test() -> None:
-        kitchen, counts = Kitchen(1), Counter[str]()
+        node, counts = UnreliableNode(1), Counter[str]()
         served: set[str] = set()
-        over = asyncio.Event()
-        async with Service(tmp_path, kitchen, service=ON) as service:
+        stopped = asyncio.Event()
+        async with Service(tmp_path, node, service=EFFECTS_SECTION) as service:
             await service.add("alfa")
 
-            async def customer(number: int) -> None:
+            async def client_loop(number: int) -> None:
                 order = 0
-                while not over.is_set():
+                while not stopped.is_set():
                     order += 1
                     key = f"c{number}-{order}"
                     for _ in range(60):
@@ -210,7 +209,7 @@
                             await asyncio.sleep(0.02)
                             continue
                         if "idempotency-replayed" in seen.headers:
-                            counts["repeats told"] += 1
+                            counts["repeats answered"] += 1
                         if seen.status == 200:
                             served.add(key)
                             break
@@ -220,7 +219,7 @@
                                 break
                         await asyncio.sleep(0.01)
 
-            customers = [asyncio.create_task(customer(n)) for n in range(12)]
+            clients = [asyncio.create_task(client_loop(n)) for n in range(12)]
             rng = random.Random(2)
             for _ in range(KILLS):
                 await asyncio.sleep(0.1 + rng.random() * 0.4)
@@ -228,18 +227,18 @@
                 await service.kill()
                 await service.start()
             await asyncio.sleep(0.3)
-            over.set()
-            await asyncio.gather(*customers)
-            assert kitchen.ran and max(kitchen.ran.values()) == 1, "a payment ran twice"
-            own = {key.partition("/")[2] for key in kitchen.ran}
-            assert served <= own, "what was told to be served has run"
+            stopped.set()
+            await asyncio.gather(*clients)
+            assert node.ran and max(node.ran.values()) == 1, "a payment ran twice"
+            ran = {key.partition("/")[2] for key in node.ran}
+            assert served <= ran, "every payment reported as served has run"
             assert counts["broken"] > 0 and counts["unknown"] > 0
-            print(dict(counts), f"{len(kitchen.ran)} ran, {len(served)} told so")
+            print(dict(counts), f"{len(node.ran)} ran, {len(served)} reported as served")
 
     run(test(), 30.0 + 4 * KILLS)
 
 
-def test_without_the_section_nothing_is_remembered(tmp_path: Path) -> None:
+def test_without_the_section_effects_are_not_remembered(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path, serve_value) as service:
             await service.add("alfa")
@@ -253,7 +252,7 @@
 
 def test_two_services_do_not_share_a_store(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Service(tmp_path, serve_value, service=ON) as service:
+        async with Service(tmp_path, serve_value, service=EFFECTS_SECTION) as service:
             port, admin = free_ports(2)
             other = tmp_path / "other.toml"
             text = service.file.read_text().replace(str(service.port), str(port))
@@ -262,7 +261,7 @@
             process = await asyncio.create_subprocess_exec(
                 *service.command(other), stderr=asyncio.subprocess.PIPE, cwd=Path.cwd()
             )
-            _, told = await process.communicate()
-            assert process.returncode == 1 and told.startswith(b"notchflow: ")
+            _, errors = await process.communicate()
+            assert process.returncode == 1 and errors.startswith(b"notchflow: ")
 
     run(test(), 40)
--- a/tests/hosting/test_file.py
+++ b/tests/hosting/test_file.py
@@ -1,4 +1,4 @@
-"""The operator file: the sample holds, and every fault is told at once with place, value and remedy."""
+"""The operator file: the sample is valid, and all errors are reported at once, with place and remedy."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 SAMPLE = ROOT / "deploy/hosted.toml"
 
 
-def sample() -> dict[str, Any]:
+def load_sample() -> dict[str, Any]:
     return tomllib.loads(SAMPLE.read_text())
 
 
-def faults(data: dict[str, Any]) -> dict[str, str]:
+def errors_of(data: dict[str, Any]) -> dict[str, str]:
     with pytest.raises(FileFaults) as error:
         decode(data, Path("f.toml"))
     return {fault.place: fault.what for fault in error.value.faults}
 
 
-def test_the_sample_holds_and_means_what_it_says() -> None:
+def test_the_sample_is_valid_and_gives_its_settings() -> None:
     file = load(SAMPLE)
     settings = file.settings()
     assert {c.name: c.effect for c in settings.classes} == {
@@ -40,9 +40,9 @@
     assert file.config(1).discovery is None and file.static_node_list().members
 
 
-def test_all_faults_are_told_at_once() -> None:
-    data = sample()
-    data["unheard"] = 1
+def test_all_errors_are_reported_at_once() -> None:
+    data = load_sample()
+    data["unknown"] = 1
     data["service"]["memory_mb"] = "much"
     data["listeners"].append({"address": data["listeners"][0]["address"]})
     data["listeners"].append({"adress": "x"})
@@ -52,8 +52,8 @@
     data["classes"][0]["effect"] = "maybe"
     del data["classes"][1]["aim_ms"]
     data["tenants"]["limits"]["rate_per_s"] = -1
-    found = faults(data)
-    assert found["unheard"].startswith("unknown section; allowed: service")
+    found = errors_of(data)
+    assert found["unknown"].startswith("unknown section; allowed: service")
     assert "'much'" in found["service.memory_mb"] and "number" in found["service.memory_mb"]
     assert found["listeners[2].adress"] == "unknown name"
     assert found["listeners[2].address"] == "is missing and has no default"
@@ -64,17 +64,17 @@
     assert "greater than 0" in found["tenants.limits.rate_per_s"]
 
 
-def test_faults_between_parts_are_told() -> None:
-    data = sample()
+def test_errors_between_sections_are_reported() -> None:
+    data = load_sample()
     data["admin"]["address"] = data["listeners"][0]["address"]
     data["fleet"]["discovery"] = "127.0.0.1:99999"
     data["fleet"]["boxes"].append(dict(data["fleet"]["boxes"][0]))
     data["classes"].append(dict(data["classes"][0]))
     data["classes"][1]["aim_ms"] = 5_000.0
     data["classes"][2]["window_ms"] = 0.0
-    data["tenants"]["routes"][0]["class"] = "unheard"
+    data["tenants"]["routes"][0]["class"] = "unknown"
     data["tenants"]["routes"][1]["path"] = "/a/../b"
-    found = faults(data)
+    found = errors_of(data)
     assert "listeners[0].address" in found["admin.address"]
     assert "not both" in found["fleet"]
     assert "127.0.0.1:99999" in found["fleet.discovery"]
@@ -82,20 +82,20 @@
     assert "another class" in found[f"classes[{len(data['classes']) - 1}].name"]
     assert "at most the deadline" in found["classes[1].aim_ms"]
     assert "how long boxes drop a repeat" in found["classes[2].window_ms"]
-    assert "'unheard'; allowed" in found["tenants.routes[0].class"]
+    assert "'unknown'; allowed" in found["tenants.routes[0].class"]
     assert "dot segment" in found["tenants.routes[1].path"]
 
 
 @pytest.mark.parametrize("section", ["listeners", "admin", "fleet", "classes"])
-def test_what_has_no_default_must_be_there(section: str) -> None:
-    data = sample()
+def test_sections_without_default_are_required(section: str) -> None:
+    data = load_sample()
     del data[section]
-    assert faults(data)[section] == "is missing and has no default"
+    assert errors_of(data)[section] == "is missing and has no default"
 
 
-def test_empty_lists_are_told() -> None:
-    data = sample() | {"listeners": [], "classes": []}
-    found = faults(data)
+def test_empty_lists_are_errors() -> None:
+    data = load_sample() | {"listeners": [], "classes": []}
+    found = errors_of(data)
     assert "at least one" in found["listeners"] and "at least one" in found["classes"]
 
 
@@ -105,13 +105,13 @@
     )
 
 
-def test_check_tells_and_exits(tmp_path: Path) -> None:
+def test_check_prints_errors_and_sets_the_exit_status(tmp_path: Path) -> None:
     done = command("check", str(SAMPLE))
     assert (done.returncode, done.stdout) == (0, f"{SAMPLE}: valid\n")
     bad = tmp_path / "bad.toml"
     bad.write_text(SAMPLE.read_text().replace('effect = "safe"', 'effect = "maybe"'))
     done = command("check", str(bad))
-    assert done.returncode == 2 and done.stderr.count("\n") == 2, "one line a fault"
+    assert done.returncode == 2 and done.stderr.count("\n") == 2, "one line per error"
     assert f"{bad}: classes[0].effect: is 'maybe'; input should be" in done.stderr
     bad.write_text("[service\n")
     done = command("check", str(bad))
@@ -120,7 +120,7 @@
     assert command("serve", str(bad)).returncode == 2
 
 
-def test_the_platform_s_proxy_loads_nothing_of_the_hosted_service() -> None:
+def test_the_platform_s_proxy_imports_nothing_of_the_hosted_service() -> None:
     code = (
         "import sys, notchflow.__main__, notchflow.net.process; "
         "print([m for m in sys.modules if m.split('.')[0] in ('pydantic', 'fastapi', 'sqlite3', 'standins') "
@@ -130,6 +130,6 @@
     assert done.stdout == "[]\n", done.stderr
 
 
-def test_without_arguments_it_is_the_platform_s_proxy() -> None:
+def test_without_arguments_the_platform_s_proxy_runs() -> None:
     done = command()
     assert done.returncode == 2 and "ROUTER_CONFIG is not set" in done.stderr
--- a/tests/hosting/test_service.py
+++ b/tests/hosting/test_service.py
@@ -1,4 +1,4 @@
-"""The hosted service under the hard cases: crush, drain, revoked keys, races, kill -9, slow calls."""
+"""The hosted service as a process: changes under load, retirement, drains, kill -9, reload and stop."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from pathlib import Path
 
 from standins.ports import free_ports
-from tests.hosting.rig import Held, Service
+from tests.hosting.rig import HeldResponses, Service
 from tests.rig import Seen, read_message, run, serve_value, until
 
 LONG = 60.0
 
 
-def test_a_tenant_is_added_changed_and_retired_in_a_crush_and_no_request_of_another_is_lost(
+def test_tenants_change_under_load_and_no_request_of_another_tenant_fails(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         async with Service(tmp_path, serve_value, serve_value) as service:
             await service.add("alfa")
             statuses: list[int] = []
-            over = asyncio.Event()
+            stopped = asyncio.Event()
 
-            async def crush(number: int) -> None:
+            async def send_requests(number: int) -> None:
                 client, rng = await service.connect(), random.Random(number)
-                while not over.is_set():
+                while not stopped.is_set():
                     seen = await service.ask("alfa", client, path=f"/menus/{rng.randrange(50)}")
                     statuses.append(seen.status)
 
-            clients = [asyncio.create_task(crush(i)) for i in range(24)]
-            for round_ in range(3):
-                name = f"guest-{round_}"
+            clients = [asyncio.create_task(send_requests(i)) for i in range(24)]
+            for round_number in range(3):
+                name = f"guest-{round_number}"
                 await service.add(name)
-                assert (await service.ask(name)).status == 200, "known at once"
+                assert (await service.ask(name)).status == 200, "a new tenant is served at once"
                 assert (
                     await service.change(name, limits={"rate_per_s": 1.0, "burst": 1.0})
                 ).status_code == 200
@@ -44,22 +44,22 @@
                 assert (await service.ask(name)).status == 403
                 assert (await service.change(name, state="active")).status_code == 200
                 assert (await service.change(name, "DELETE")).status_code == 202
-                await gone(service, name)
+                await wait_until_gone(service, name)
                 assert (await service.ask(name)).status == 401
-            over.set()
+            stopped.set()
             await asyncio.gather(*clients)
             assert len(statuses) > 100 and set(statuses) == {200}
 
     run(test(), LONG)
 
 
-async def gone(service: Service, tenant: str) -> None:
+async def wait_until_gone(service: Service, tenant: str) -> None:
     while (await service.tenant(tenant))["state"] != "gone":
         await asyncio.sleep(0.01)
 
 
-def test_a_retiring_tenant_s_requests_in_hand_are_answered_before_it_is_gone(tmp_path: Path) -> None:
-    hold = Held()
+def test_requests_in_hand_of_a_retiring_tenant_are_answered_before_it_is_gone(tmp_path: Path) -> None:
+    hold = HeldResponses()
     held = hold.requests
 
     async def test() -> None:
@@ -75,25 +75,25 @@
             assert usage["in_hand"] == 1
             held[0].set()
             assert (await asking).status == 200
-            await gone(service, "alfa")
-            assert len(held) == 1, "nothing new was begun"
+            await wait_until_gone(service, "alfa")
+            assert len(held) == 1, "no new request was sent"
             again = await service.api.post("/v1/tenants", json={"id": "alfa"})
-            assert again.status_code == 409, "an id is never given out again"
+            assert again.status_code == 409, "an ID is never reused"
             keys = (await service.api.get("/v1/tenants/alfa/keys")).json()["items"]
             assert all(key["revoked_at"] for key in keys)
 
     run(test(), LONG)
 
 
-def test_administration_calls_while_a_box_drains_leave_the_drain_kept(tmp_path: Path) -> None:
+def test_administration_calls_during_a_drain_do_not_break_its_grace_period(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path, serve_value, serve_value) as service:
             await service.add("alfa")
-            over = asyncio.Event()
+            stopped = asyncio.Event()
 
-            async def crush(number: int) -> None:
+            async def send_requests(number: int) -> None:
                 client, rng = await service.connect(), random.Random(number)
-                while not over.is_set():
+                while not stopped.is_set():
                     assert (
                         await service.ask("alfa", client, path=f"/menus/{rng.randrange(50)}")
                     ).status == 200
@@ -102,7 +102,7 @@
                 for number in range(15):
                     await service.add(f"guest-{number}")
 
-            clients = [asyncio.create_task(crush(i)) for i in range(8)]
+            clients = [asyncio.create_task(send_requests(i)) for i in range(8)]
             await until(lambda: all(len(box.seen) > 20 for box in service.boxes))
             service.registry.told.clear()
             calls = asyncio.create_task(administrate())
@@ -116,17 +116,17 @@
             await calls
             more = len(service.boxes[1].seen)
             await until(lambda: len(service.boxes[1].seen) > more + 50)
-            over.set()
+            stopped.set()
             await asyncio.gather(*clients)
-            assert len(service.boxes[0].seen) == after_grace, "nothing new after the grace"
+            assert len(service.boxes[0].seen) == after_grace, "no new request after the grace period"
 
     run(test(), LONG)
 
 
-def test_a_key_revoked_with_requests_in_hand_ends_for_the_next_one_on_a_kept_connection(
+def test_a_revoked_key_is_rejected_with_the_next_request_on_a_connection(
     tmp_path: Path,
 ) -> None:
-    hold = Held()
+    hold = HeldResponses()
     held = hold.requests
 
     async def test() -> None:
@@ -139,7 +139,7 @@
             assert (await service.api.delete(f"/v1/tenants/alfa/keys/{key}")).status_code == 204
             held[0].set()
             seen = await client.receive()
-            assert seen is not None and seen.status == 200, "what was taken is answered"
+            assert seen is not None and seen.status == 200, "the admitted request is answered"
             assert (await service.ask("alfa", client)).status == 401
             old = service.tokens["alfa"]
             await service.issue("alfa")
@@ -152,18 +152,18 @@
     run(test(), LONG)
 
 
-def test_of_two_changes_that_race_one_loses_and_is_told(tmp_path: Path) -> None:
+def test_of_concurrent_changes_one_succeeds_and_the_others_get_412(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path) as service:
             await service.add("alfa")
             won = 0
-            for round_ in range(10):
+            for round_number in range(10):
                 version = (await service.tenant("alfa"))["version"]
                 done = await asyncio.gather(
                     *(
                         service.api.patch(
                             "/v1/tenants/alfa",
-                            json={"name": f"{round_}-{i}"},
+                            json={"name": f"{round_number}-{i}"},
                             headers={"If-Match": f'"{version}"'},
                         )
                         for i in range(4)
@@ -179,12 +179,12 @@
     run(test(), LONG)
 
 
-def test_what_was_acknowledged_outlives_kill_9(tmp_path: Path) -> None:
+def test_acknowledged_changes_survive_kill_9(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path) as service:
             for number in range(3):
                 name = f"tenant-{number}"
-                await service.add(name)  # the last answer before the kill is a 201
+                await service.add(name)  # the last response before the kill is a 201
                 await service.kill()
                 await service.start()
                 for kept in range(number + 1):
@@ -199,7 +199,7 @@
     run(test(), LONG)
 
 
-def test_a_retirement_that_a_kill_cut_short_is_finished_at_the_start(tmp_path: Path) -> None:
+def test_a_retirement_interrupted_by_a_kill_is_finished_at_the_start(tmp_path: Path) -> None:
     async def hang(seen: Seen, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(LONG)
 
@@ -218,7 +218,7 @@
     run(test(), LONG)
 
 
-def test_a_slow_or_huge_administration_call_ends_and_delays_no_client(tmp_path: Path) -> None:
+def test_slow_and_huge_administration_calls_end_and_delay_no_client(tmp_path: Path) -> None:
     bounds = "rate_per_s = 100000.0\nburst = 100000.0\ntimeout_s = 0.5\nbody_max = 2048\nhead_max = 2048"
 
     async def test() -> None:
@@ -249,27 +249,29 @@
                 begun = time.monotonic()
                 assert (await service.ask("alfa", client)).status == 200
                 worst = max(worst, time.monotonic() - begun)
-            assert worst < 0.3, "a client's aim, on a machine that does other things too"
-            for caller, status in ((slow_body, 408), (huge, 413), (chunked, 413), (long_head, 400)):
-                seen = await caller.receive()
+            assert (
+                worst < 0.3
+            ), "administration calls must not delay a client; 0.3 s allows for a busy machine"
+            for connection, status in ((slow_body, 408), (huge, 413), (chunked, 413), (long_head, 400)):
+                seen = await connection.receive()
                 assert seen is not None and seen.status == status
-            assert await slow_head.reader.read() == b"", "closed without a word: there was no request"
+            assert await slow_head.reader.read() == b"", "closed without a response: there was no request"
             assert (await service.api.get("/v1/tenants")).status_code == 200
 
     run(test(), LONG)
 
 
-def test_connections_to_the_administration_are_bounded(tmp_path: Path) -> None:
+def test_connections_to_the_administration_are_limited(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path, admin="connections = 4") as service:
             kept = [await service.connect(service.admin_port) for _ in range(4)]
             more = await service.connect(service.admin_port)
-            assert await more.reader.read() == b"", "closed without a word"
+            assert await more.reader.read() == b"", "closed without a response"
             kept[0].writer.write(b"GET /openapi.json HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
             seen = await kept[0].receive()
             assert seen is not None and seen.status == 200
             await kept[0].reader.read()
-            while True:  # the place is free again, as soon as the server has noticed
+            while True:  # the connection counts until the server has noticed its end
                 again = await service.connect(service.admin_port)
                 again.writer.write(b"GET /v1/tenants HTTP/1.1\r\nHost: a\r\n\r\n")
                 seen = await again.receive()
@@ -280,7 +282,7 @@
     run(test(), LONG)
 
 
-def test_calls_above_the_rate_are_told_when_to_return(tmp_path: Path) -> None:
+def test_administration_calls_above_the_rate_get_a_retry_time(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path, admin="rate_per_s = 0.2\nburst = 5.0") as service:
             done = [await service.api.get("/v1/tenants") for _ in range(8)]
@@ -291,7 +293,7 @@
     run(test(), LONG)
 
 
-def test_sighup_takes_over_what_can_change_and_says_what_cannot(tmp_path: Path) -> None:
+def test_sighup_applies_reloadable_settings_and_names_the_others(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path) as service:
             await service.add("alfa")
@@ -302,7 +304,7 @@
             text = service.file.read_text()
             service.file.write_text(text.replace('path = "/menus/{day}"', 'path = "/cartas/{day}"'))
             service.signal(signal.SIGHUP)
-            await until(lambda: "was taken over" in service.log)
+            await until(lambda: "was taken stopped" in service.log)
             assert "wait for the next start: listeners" in service.log
             assert (await service.ask("alfa", path="/menus/d1")).status == 404
             assert (await service.ask("alfa", path="/cartas/d1")).status == 200
@@ -321,7 +323,7 @@
     run(test(), LONG)
 
 
-def test_classes_change_at_sighup_and_the_console_tells(tmp_path: Path) -> None:
+def test_classes_change_at_sighup_and_the_console_shows_them(tmp_path: Path) -> None:
     async def call(port: int, method: str, path: str) -> Seen:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
@@ -352,7 +354,7 @@
 """
             )
             service.signal(signal.SIGHUP)
-            await until(lambda: "was taken over" in service.log)
+            await until(lambda: "was taken stopped" in service.log)
             assert "wait for the next start" not in service.log
             assert (await service.ask("alfa", path="/fresh/d1")).status == 200
             figures = (await call(console, "GET", "/status/metrics")).body.decode()
@@ -367,8 +369,8 @@
     run(test(), LONG)
 
 
-def test_sigterm_answers_what_is_in_hand_and_ends_with_nothing(tmp_path: Path) -> None:
-    hold = Held()
+def test_sigterm_answers_the_requests_in_hand_and_ends_with_status_0(tmp_path: Path) -> None:
+    hold = HeldResponses()
     held = hold.requests
 
     async def test() -> None:
@@ -383,15 +385,15 @@
             assert await service.ended() == 0
             await service.start()
             key = (await service.api.get("/v1/tenants/alfa/keys")).json()["items"][0]
-            assert key["last_used_at"] is not None, "written at the end, not with the request"
+            assert key["last_used_at"] is not None, "key uses are written at the stop, not with each request"
 
     run(test(), LONG)
 
 
-def test_a_second_process_and_a_taken_address_are_told(tmp_path: Path) -> None:
+def test_a_locked_state_and_an_address_in_use_are_errors(tmp_path: Path) -> None:
     async def test() -> None:
         async with Service(tmp_path) as service:
-            for state, told in (("state", "another process serves"), ("other", "ddress already in use")):
+            for state, message in (("state", "another process serves"), ("other", "ddress already in use")):
                 service.service_lines = f'state = "{state}"'
                 service.write()
                 done = await asyncio.to_thread(
@@ -401,6 +403,6 @@
                     text=True,
                     timeout=30,
                 )
-                assert done.returncode == 1 and told in done.stderr
+                assert done.returncode == 1 and message in done.stderr
 
     run(test(), LONG)
--- a/tests/tenancy/test_limits.py
+++ b/tests/tenancy/test_limits.py
@@ -1,4 +1,4 @@
-"""The bucket, the counts, and fair parts under pressure."""
+"""The token bucket, the counts in hand, and fair shares under pressure."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 WIDE = Limits(rate_per_s=1e6, burst=1e6, in_hand=1_000_000)
 
 
-def test_a_bucket_gives_its_burst_and_then_its_rate() -> None:
+def test_a_bucket_grants_its_burst_and_then_its_rate() -> None:
     bucket = Bucket(5, 0.0)
     assert [bucket.take(0.0, 10, 5) for _ in range(5)] == [0.0] * 5
     assert bucket.take(0.0, 10, 5) == pytest.approx(0.1)
@@ -22,17 +22,17 @@
     assert bucket.take(100.0, 10, 5) == 0.0 and bucket.tokens == 4, "never more than the burst"
 
 
-def test_those_turned_away_are_told_times_one_after_the_other() -> None:
+def test_retry_times_of_rejected_requests_are_spaced_by_the_rate() -> None:
     bucket = Bucket(1, 0.0)
     bucket.take(0.0, 10, 1)
-    told = [bucket.take(0.0, 10, 1) for _ in range(5)]
-    assert told == pytest.approx([0.1, 0.2, 0.3, 0.4, 0.5])
-    for at in told:  # who comes back when told is served
+    retry_times = [bucket.take(0.0, 10, 1) for _ in range(5)]
+    assert retry_times == pytest.approx([0.1, 0.2, 0.3, 0.4, 0.5])
+    for at in retry_times:  # a client that returns on time is served
         assert bucket.take(at + 1e-6, 10, 1) == 0.0
     assert max(bucket.take(0.5, 0.001, 1) for _ in range(100)) <= MAX_RETRY_AFTER_S
 
 
-def test_a_clock_that_steps_back_gives_nothing_away() -> None:
+def test_a_clock_that_steps_back_adds_no_tokens() -> None:
     bucket = Bucket(2, 100.0)
     assert bucket.take(50.0, 1, 2) == bucket.take(50.0, 1, 2) == 0.0
     assert bucket.take(50.0, 1, 2) > 0
@@ -41,15 +41,15 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.floats(0, 2), max_size=60), st.floats(0.5, 50), st.floats(1, 20))
-def test_no_span_passes_more_than_burst_and_rate(gaps: list[float], rate: float, burst: float) -> None:
-    bucket, now, passed = Bucket(burst, 0.0), 0.0, 0
+def test_no_period_admits_more_than_burst_and_rate(gaps: list[float], rate: float, burst: float) -> None:
+    bucket, now, admitted = Bucket(burst, 0.0), 0.0, 0
     for gap in gaps:
         now += gap
-        passed += bucket.take(now, rate, burst) == 0.0
-    assert passed <= burst + rate * now + 1e-6
+        admitted += bucket.take(now, rate, burst) == 0.0
+    assert admitted <= burst + rate * now + 1e-6
 
 
-def test_in_hand_is_bounded_and_given_back() -> None:
+def test_requests_in_hand_are_limited_and_released() -> None:
     shares, usage = Shares(100), Usage(1e6, 0.0)
     limits = Limits(rate_per_s=1e6, burst=1e6, in_hand=2)
     assert shares.admit(usage, limits, 0.0, 0.0) is None
@@ -61,19 +61,19 @@
     assert usage.refused == {"in-hand": 1} and usage.asked == 4
 
 
-def test_one_tenant_alone_never_takes_all_and_another_finds_room() -> None:
+def test_one_tenant_alone_never_takes_the_whole_capacity() -> None:
     shares, flood, other = Shares(100), Usage(1e6, 0.0), Usage(1e6, 0.0)
     taken = sum(shares.admit(flood, WIDE, 0.0, 0.0) is None for _ in range(200))
     assert taken == 80
     assert sum(shares.admit(other, WIDE, 0.0, 0.0) is None for _ in range(200)) == 20
-    for _ in range(40):  # as the flood's requests end, it gets back no more than its part
+    for _ in range(40):  # as the flood's requests end, it is admitted up to its fair share only
         shares.release(flood, 0.1)
         shares.admit(flood, WIDE, 0.0, 0.0)
         shares.admit(other, WIDE, 0.0, 0.0)
     assert other.in_hand >= 39 and shares.in_hand <= 100
 
 
-def test_parts_follow_the_weights() -> None:
+def test_shares_follow_the_weights() -> None:
     shares, light, heavy = Shares(100), Usage(1e6, 0.0), Usage(1e6, 0.0)
     three = Limits(rate_per_s=1e6, burst=1e6, in_hand=1000, weight=3)
     for _ in range(300):
@@ -85,11 +85,11 @@
     assert 2.5 * light.in_hand <= heavy.in_hand <= 3.5 * light.in_hand
 
 
-def test_under_the_module_s_pressure_only_who_is_over_its_part_is_held_back() -> None:
+def test_under_the_policy_s_pressure_only_tenants_over_their_share_are_rejected() -> None:
     shares, flood, other = Shares(10_000), Usage(1e6, 0.0), Usage(1e6, 0.0)
     for _ in range(50):
         assert shares.admit(flood, WIDE, 0.0, 0.0) is None
-    assert shares.admit(flood, WIDE, 0.0, 0.5) is None, "alone there is nobody to share with"
+    assert shares.admit(flood, WIDE, 0.0, 0.5) is None, "there is no other tenant to share with"
     assert shares.admit(other, WIDE, 0.0, 0.5) is None
     refusal = shares.admit(flood, WIDE, 0.0, 0.5)
     assert refusal is not None and refusal.reason is Reason.SHARE
@@ -98,7 +98,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), max_size=200))
-def test_counts_return_to_nothing(steps: list[tuple[int, bool]]) -> None:
+def test_counts_return_to_zero(steps: list[tuple[int, bool]]) -> None:
     shares, usages = Shares(20), [Usage(1e6, 0.0) for _ in range(4)]
     for who, enters in steps:
         if enters:
@@ -117,6 +117,6 @@
     "field,value",
     [("rate_per_s", 0), ("burst", 0.5), ("in_hand", 0), ("bytes_held", -1), ("weight", float("inf"))],
 )
-def test_impossible_limits_name_the_field(field: str, value: Any) -> None:
+def test_invalid_limits_name_the_field(field: str, value: Any) -> None:
     with pytest.raises(ValueError, match=field):
         Limits(**{field: value})
--- a/tests/tenancy/test_paths.py
+++ b/tests/tenancy/test_paths.py
@@ -1,4 +1,4 @@
-"""One spelling for each path, or none."""
+"""Path normalisation: one normal form for each valid path, an error for each ambiguous one."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     (b"/a;v=1,2", "/a;v=1,2"),
     (b"/a/%e2%80%a6", "/a/%E2%80%A6"),
 ]
-NONE = [
+REJECTED = [
     b"",
     b"a",
     b"*",
@@ -73,18 +73,18 @@
 
 
 @pytest.mark.parametrize("url,path", NORMAL)
-def test_paths_come_out_in_normal_form(url: bytes, path: str) -> None:
+def test_paths_are_normalised(url: bytes, path: str) -> None:
     assert normalise(url) == Target(path, None)
-    assert normalise(path.encode()).path == path, "and stay so"
+    assert normalise(path.encode()).path == path, "normalising again changes nothing"
 
 
-@pytest.mark.parametrize("url", NONE)
-def test_what_can_be_read_in_two_ways_is_no_path(url: bytes) -> None:
+@pytest.mark.parametrize("url", REJECTED)
+def test_ambiguous_and_invalid_targets_are_rejected(url: bytes) -> None:
     with pytest.raises(PathFault):
         normalise(url)
 
 
-def test_a_query_goes_on_as_it_is_and_an_absolute_form_names_its_host() -> None:
+def test_the_query_is_kept_and_an_absolute_form_gives_the_authority() -> None:
     assert normalise(b"/a?x=%2e%2e/../&y=//") == Target("/a", b"x=%2e%2e/../&y=//")
     assert normalise(b"/a?") == Target("/a", b"")
     assert normalise(b"HTTP://host:81/a?b") == Target("/a", b"b", b"host:81")
@@ -98,7 +98,7 @@
         max_size=8,
     )
 )
-def test_a_path_that_passes_has_no_dots_slashes_or_escapes_left_to_resolve(parts: list[bytes]) -> None:
+def test_an_accepted_path_has_no_dot_segments_or_ambiguous_escapes(parts: list[bytes]) -> None:
     try:
         target = normalise(b"/" + b"".join(parts))
     except PathFault:
@@ -106,5 +106,5 @@
     again = normalise(target.path.encode())
     assert again.path == target.path
     assert not {".", ".."} & set(target.segments)
-    low = target.path.lower()
-    assert not any(escape in low for escape in ("%2e", "%2f", "%5c", "%25", "//", "\\"))
+    lowered = target.path.lower()
+    assert not any(escape in lowered for escape in ("%2e", "%2f", "%5c", "%25", "//", "\\"))
--- a/tests/tenancy/test_routes.py
+++ b/tests/tenancy/test_routes.py
@@ -1,4 +1,4 @@
-"""Templates, matching, and what is wrong with routes."""
+"""Matching and validation of routes."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 ALL = (MENU, TODAY, SLOT)
 
 
-def test_the_more_literal_template_wins_and_parameters_make_the_key() -> None:
+def test_the_more_literal_template_wins_and_parameters_form_the_key() -> None:
     router = Router(ALL)
     assert router.match("GET", "/menus/c1/2026-12-01") == Match(MENU, "c1/2026-12-01")
     assert router.match("GET", "/menus/c1/today") == Match(TODAY, "menus/c1/today")
     assert router.match("PUT", "/menus/c1/2026-12-01") == Match(SLOT, "2026-12-01")
-    assert router.match("PUT", "/menus/c1/today") == Match(SLOT, "today"), "the next best is tried"
+    assert router.match("PUT", "/menus/c1/today") == Match(SLOT, "today"), "the search backtracks"
 
 
-def test_what_has_no_route_says_which_methods_there_are() -> None:
+def test_without_a_route_the_allowed_methods_are_returned() -> None:
     router = Router(ALL)
     assert router.match("DELETE", "/menus/c1/d") == frozenset({"GET", "PUT"})
     for path in ("/", "/menus", "/menus/c1", "/menus/c1/d/", "/menus//d", "/Menus/c1/d", "/menus/c1/d/e"):
         assert router.match("GET", path) == frozenset()
 
 
-def test_two_things_never_share_a_key_by_their_spelling() -> None:
+def test_different_parameters_never_form_the_same_key() -> None:
     router = Router((Route("GET", "/a/{x}/{y}", "read", ("x", "y")),))
     keys = {
         router.match("GET", f"/a/{x}/{y}").key  # type: ignore[union-attr]
@@ -35,12 +35,12 @@
     assert len(keys) == 5
 
 
-def test_all_faults_are_told_with_their_place() -> None:
+def test_all_errors_are_reported_with_their_place() -> None:
     found = dict(
         faults(
             [
                 Route("FETCH", "/a", "read"),
-                Route("GET", "/b", "unheard"),
+                Route("GET", "/b", "unknown"),
                 Route("GET", "b", "read"),
                 Route("GET", "/c/../d", "read"),
                 Route("GET", "/c/x{id}", "read"),
@@ -65,7 +65,7 @@
         "8.path",
         "9.path",
     } == set(found)
-    assert "'unheard'" in found["1.class"] and "read" in found["1.class"]
+    assert "'unknown'" in found["1.class"] and "read" in found["1.class"]
     assert "'/~a'" in found["9.path"]
     assert faults(ALL, ("read", "slot")) == []
     assert faults([MENU] * 65, ("read",))[0][0] == ""
