--- a/tests/hosting/test_cluster.py
+++ b/tests/hosting/test_cluster.py
@@ -214,9 +214,7 @@
         fleet.instances["p3"].spawn()
         await fleet.instances["p3"].ready()
         while [(await fleet_usage(name))["asked"] for name in fleet.names] != [6, 6, 3]:
-            await asyncio.sleep(
-                0.05
-            )  # p3 has lost the counts of its former incarnation; the others have them
+            await asyncio.sleep(0.05)  # only p3 has lost the counts of its former incarnation
 
 
 def test_one_instance_shows_the_fleet_by_its_api_its_console_and_the_command_line(tmp_path: Path) -> None:
--- a/tests/hosting/test_service.py
+++ b/tests/hosting/test_service.py
@@ -304,7 +304,7 @@
             text = service.file.read_text()
             service.file.write_text(text.replace('path = "/menus/{day}"', 'path = "/cartas/{day}"'))
             service.signal(signal.SIGHUP)
-            await until(lambda: "was taken stopped" in service.log)
+            await until(lambda: "was taken over" in service.log)
             assert "wait for the next start: listeners" in service.log
             assert (await service.ask("alfa", path="/menus/d1")).status == 404
             assert (await service.ask("alfa", path="/cartas/d1")).status == 200
@@ -354,7 +354,7 @@
 """
             )
             service.signal(signal.SIGHUP)
-            await until(lambda: "was taken stopped" in service.log)
+            await until(lambda: "was taken over" in service.log)
             assert "wait for the next start" not in service.log
             assert (await service.ask("alfa", path="/fresh/d1")).status == 200
             figures = (await call(console, "GET", "/status/metrics")).body.decode()
