--- a/notchflow/cli.py
+++ b/notchflow/cli.py
@@ -27,18 +27,18 @@
         "set, it is the platform's proxy.",
     )
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    serve = commands.add_parser("serve", help="run the hosted service by an operator file")
+    serve = commands.add_parser("serve", help="run the hosted service with an operator file")
     serve.add_argument("file", type=Path)
-    check = commands.add_parser("check", help="check an operator file and tell all its faults at once")
+    check = commands.add_parser("check", help="check an operator file and report all its errors at once")
     check.add_argument("file", type=Path)
     demo = commands.add_parser("demo", help="the whole service with stand-ins and a small load, on loopback")
-    demo.add_argument("--seconds", type=float, default=0.0, help="end after so long (default: at Ctrl-C)")
-    demo.add_argument("--rate", type=float, default=60.0, help="requests a second in all (default: 60)")
+    demo.add_argument("--seconds", type=float, default=0.0, help="end after this time (default: at Ctrl-C)")
+    demo.add_argument("--rate", type=float, default=60.0, help="requests per second in total (default: 60)")
     demo.add_argument("--plain", action="store_true", help="lines instead of a live table")
     admin = commands.add_parser("admin", help="call the administration API", add_help=False)
     admin.add_argument("rest", nargs=argparse.REMAINDER)
     lab = commands.add_parser(
-        "lab", help="emulated days, with the module and what it is compared with", add_help=False
+        "lab", help="emulated days of traffic, for the policy and its alternatives", add_help=False
     )
     lab.add_argument("rest", nargs=argparse.REMAINDER)
     cluster = commands.add_parser("cluster", help="the fleet as one instance sees it", add_help=False)
@@ -47,10 +47,12 @@
         "fleet", help="a fleet on loopback to try, and faults between its processes", add_help=False
     )
     fleet.add_argument("rest", nargs=argparse.REMAINDER)
-    store = commands.add_parser("store", help="check, dump, compact or repair a store that nobody has open")
+    store = commands.add_parser(
+        "store", help="check, dump, compact or repair a store that no process has open"
+    )
     store.add_argument("action", choices=("check", "dump", "compact", "repair"))
     store.add_argument("folder", type=Path, help="the store's folder, or a copy of it")
-    store.add_argument("--all", action="store_true", help="dump: deletes and former records as well")
+    store.add_argument("--all", action="store_true", help="dump: include deletes and superseded records")
     return top
 
 
