--- a/notchflow/effects/__init__.py
+++ b/notchflow/effects/__init__.py
@@ -1,1 +1,1 @@
-"""What became of requests that must not run twice, also over a crash."""
+"""The idempotency store: records requests that must not run twice, across crashes and restarts."""
--- a/notchflow/effects/command.py
+++ b/notchflow/effects/command.py
@@ -1,4 +1,4 @@
-"""`notchflow store check|dump|compact|repair DIR`, on a store that no process has open."""
+"""The commands `notchflow store check|dump|compact|repair DIR`, for a store that no process has open."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """0: sound, or done; 1: there is damage; 2: it cannot be used, or another process has it."""
+    """Runs the command and returns its exit status: 0 if the store is sound or the work is done, 1 if it is
+    damaged, 2 if it cannot be used or another process has it open."""
     if not options.folder.is_dir():
         print(f"{options.folder}: there is no such folder", file=sys.stderr)
         return UNUSABLE
@@ -51,8 +52,8 @@
 
 
 def shown(record: Record) -> dict[str, object]:
-    """A record for people: the key as text where it is, and the fate of a request where it tells one."""
-    found: dict[str, object] = {
+    """A record as printed by `dump`: the key as text, and the decoded value of an idempotency record."""
+    fields: dict[str, object] = {
         "number": record.number,
         "kind": record.kind.name.lower(),
         "key": record.key.decode("utf-8", "backslashreplace"),
@@ -61,8 +62,8 @@
     try:
         effect = decode(record.value)
     except ValueError:
-        return found | {"value": record.value.hex()}
-    return found | {
+        return fields | {"value": record.value.hex()}
+    return fields | {
         "fate": effect.fate.name.lower(),
         "status": effect.status,
         "fingerprint": effect.fingerprint.hex(),
--- a/notchflow/effects/keeper.py
+++ b/notchflow/effects/keeper.py
@@ -1,4 +1,5 @@
-"""Between the door, the memory of effects and the store: what waits for the disk, and for how long."""
+"""Connects admission, the idempotency state machine and the store: decides which requests wait for the disk,
+and for how long."""
 
 from __future__ import annotations
 
@@ -13,17 +14,17 @@
 from typing import Any, Final, Protocol
 
 from notchflow.effects.memory import (
-    Begin,
-    Deny,
-    End,
-    Held,
-    Look,
-    Memory,
+    ActiveKey,
+    Decision,
+    IdempotencyTracker,
+    Outcome,
     Phase,
+    ReadRecord,
+    Reject,
+    RejectReason,
+    Replay,
     Rule,
-    Tell,
-    Verdict,
-    Why,
+    Start,
 )
 from notchflow.effects.record import Effect, decode, fingerprint
 from notchflow.net.exchange import ClientRequest, LocalReply
@@ -35,61 +36,63 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S: Final = 1.0
-BOOT_ID: Final = Path("/proc/sys/kernel/random/boot_id")
-Go = Callable[[float | None], None]
+RETRY_AFTER_S: Final = 1.0
+BOOT_ID_PATH: Final = Path("/proc/sys/kernel/random/boot_id")
+Send = Callable[[float | None], None]  # milliseconds since an earlier attempt may first have run
 
 
 class Hosted(Protocol):
-    """The host's time and classes, as far as the keeper needs them."""
+    """The parts of the host that the idempotency service uses."""
 
     classes: dict[str, float]  # deadlines, milliseconds
 
-    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId: ...
+    def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> TimerId:
+        """Calls `call(argument)` at `due` (milliseconds of the host's clock)."""
+        ...
 
 
 def this_boot() -> int:
-    """A number for this run of the machine; where none is told, one that no earlier process had, so that no
-    window is held to be open over a restart."""
+    """Identifies the machine's current boot. If the system has no boot id, a random number is returned, so
+    that no deduplication window is taken to be open across a restart of the process."""
     try:
-        return uuid.UUID(BOOT_ID.read_text().strip()).int >> 64
+        return uuid.UUID(BOOT_ID_PATH.read_text().strip()).int >> 64
     except (OSError, ValueError):
         return secrets.randbits(64)
 
 
 def boot_ms() -> int:
-    """Milliseconds since the machine was started, also while it slept."""
+    """Milliseconds since the machine booted, including time spent suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
 class Guard:
-    """One request under the memory's rules, from the door to its end."""
+    """One request with an idempotency key, from admission to its end."""
 
-    __slots__ = ("keeper", "key", "rule", "call", "go", "timer", "over", "busy", "held")
+    __slots__ = ("keeper", "key", "rule", "call", "send", "timer", "over", "busy", "active_key")
 
     def __init__(
-        self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, go: Go
+        self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, send: Send
     ) -> None:
         self.keeper, self.key, self.rule = keeper, key, rule
         self.call: ClientRequest | None = call
-        self.busy, self.go = busy, go
+        self.busy, self.send = busy, send
         self.timer: TimerId | None = None
-        self.over = False  # answered or left while it waited for the store
-        self.held: Held | None = None  # what is in hand under the key, if it is for this request
+        self.over = False  # answered, or its client left, while it waited for the store
+        self.active_key: ActiveKey | None = None  # the key's active state, if this request owns it
 
     def ended(self, status: int, ran: bool) -> None:
-        """The request is over for its client. `ran`: an attempt may have run, or may yet."""
+        """The request has ended for its client. `ran`: an attempt may have run, or may still run."""
         self.over = True
         self.call = None
         self.keeper.ended(self, status, ran)
 
     def begin(self, call: ClientRequest, cls: str) -> LocalReply | None:
-        """Sends the request on, now or later, or says why not."""
+        """Starts the request, now or later, or returns the reply that rejects it."""
         return self.keeper.begin(self, call, cls)
 
 
 class Keeper:
-    """The memory, its store, and those who wait."""
+    """The idempotency state machine, its store and the requests that wait for it."""
 
     def __init__(
         self,
@@ -100,102 +103,110 @@
         clock: Callable[[], int] = boot_ms,
     ) -> None:
         self.committer, self.host, self.cancel, self.clock = committer, host, cancel, clock
-        self.memory = Memory(this_boot() if boot is None else boot)
-        self.rules: dict[str, Rule] = {}  # by class; others are not remembered
-        self.refused = 0  # as the store could not take or give what was asked
+        self.tracker = IdempotencyTracker(this_boot() if boot is None else boot)
+        self.rules: dict[str, Rule] = {}  # by class; requests of other classes are not recorded
+        self.refused = 0  # requests shed because the store could not read or write in time
 
-    def guard(self, call: ClientRequest, cls: str, key: bytes, busy: LocalReply, go: Go) -> Guard | None:
-        """For a request with an idempotency key; none where the class needs none."""
+    def guard(self, call: ClientRequest, cls: str, key: bytes, busy: LocalReply, send: Send) -> Guard | None:
+        """A guard for a request with an idempotency key; None if its class has no rule. `send` sends the
+        request, with the milliseconds since an earlier attempt may first have run, or None."""
         rule = self.rules.get(cls)
-        return Guard(self, key, rule, call, busy, go) if rule is not None else None
+        return Guard(self, key, rule, call, busy, send) if rule is not None else None
 
     def begin(self, guard: Guard, call: ClientRequest, cls: str) -> LocalReply | None:
-        """What the client is told at once; none where it is told later, or the request is sent."""
-        known, print_ = self.committer.known(guard.key), fingerprint(call.method, call.url, call.body)
+        """The immediate reply to the client; None if the reply comes later or the request is sent."""
+        known, request_fingerprint = (
+            self.committer.known(guard.key),
+            fingerprint(call.method, call.url, call.body),
+        )
         deadline = call.arrived_at + self.host.classes[cls]
-        verdict = self.memory.ask(guard.key, print_, guard.rule, self.clock(), known)
-        answer = self._act(guard, verdict)
-        if answer is None and not guard.over and self._waits(guard):
-            guard.timer = self.host.call_at(deadline, self._too_late, guard)
+        decision = self.tracker.request_arrived(
+            guard.key, request_fingerprint, guard.rule, self.clock(), known
+        )
+        answer = self._apply_decision(guard, decision)
+        if answer is None and not guard.over and self._is_waiting(guard):
+            guard.timer = self.host.call_at(deadline, self._on_deadline, guard)
         return answer
 
-    def _waits(self, guard: Guard) -> bool:
-        held = self.memory.hand.get(guard.key)
-        return held is not None and held.phase in (Phase.LOOKING, Phase.WRITING)
-
-    def _act(self, guard: Guard, verdict: Verdict) -> LocalReply | None:
-        if isinstance(verdict, Tell):
-            return told(verdict.status)
-        if isinstance(verdict, Deny):
-            return denied(verdict.why)
-        if isinstance(verdict, Look):
-            self.committer.read(guard.key, partial(self._found, guard))
+    def _is_waiting(self, guard: Guard) -> bool:
+        active_key = self.tracker.active.get(guard.key)
+        return active_key is not None and active_key.phase in (Phase.LOOKING, Phase.WRITING)
+
+    def _apply_decision(self, guard: Guard, decision: Decision) -> LocalReply | None:
+        if isinstance(decision, Replay):
+            return replay_reply(decision.status)
+        if isinstance(decision, Reject):
+            return rejection_reply(decision.reason)
+        if isinstance(decision, ReadRecord):
+            self.committer.read(guard.key, partial(self._on_record_read, guard))
             return None
-        guard.held = self.memory.hand[guard.key]
+        guard.active_key = self.tracker.active[guard.key]
         try:
-            done = partial(self._durable, guard, verdict) if verdict.wait else _ignore
-            self.committer.submit([self._put(guard, verdict.effect)], done)
+            done = partial(self._on_intent_durable, guard, decision) if decision.wait else _log_write_error
+            self.committer.submit([self._put_change(guard, decision.effect)], done)
         except StoreError as error:
-            return self._unwritten(guard, verdict, error)
-        if not verdict.wait:
-            guard.go(self._earlier(verdict))
+            return self._intent_not_written(guard, decision, error)
+        if not decision.wait:
+            guard.send(self._since_earlier_ms(decision))
         return None
 
-    def _unwritten(self, guard: Guard, verdict: Begin, error: StoreError) -> LocalReply:
-        """What cannot be remembered is not sent."""
-        log.debug("an intent is not written: %s", error)
+    def _intent_not_written(self, guard: Guard, decision: Start, error: StoreError) -> LocalReply:
+        """Sheds a request whose intent could not be written: it must not be sent."""
+        log.debug("an intent could not be written: %s", error)
         self.refused += 1
-        held, guard.held = guard.held, None
-        if verdict.wait:
-            self.memory.not_durable(guard.key)
-        elif held is not None:
-            self.memory.ended(guard.key, End.NEVER_RAN)
-            self.memory.closed(guard.key, held)
+        active_key, guard.active_key = guard.active_key, None
+        if decision.wait:
+            self.tracker.intent_failed(guard.key)
+        elif active_key is not None:
+            self.tracker.request_ended(guard.key, Outcome.NEVER_RAN)
+            self.tracker.outcome_written(guard.key, active_key)
         return guard.busy
 
-    def _earlier(self, verdict: Begin) -> float | None:
-        """How long ago an attempt may first have run, milliseconds."""
-        return None if verdict.earlier_ms is None else float(self.clock() - verdict.earlier_ms)
+    def _since_earlier_ms(self, decision: Start) -> float | None:
+        """Milliseconds since an attempt under the key may first have run; None if none has."""
+        return (
+            None if decision.earlier_attempt_ms is None else float(self.clock() - decision.earlier_attempt_ms)
+        )
 
-    def _put(self, guard: Guard, effect: Effect) -> Change:
+    def _put_change(self, guard: Guard, effect: Effect) -> Change:
         return Change(Kind.PUT, guard.key, effect.encode(), self.committer.now() + guard.rule.keep_ms)
 
-    # -- the store answers, on the loop
-    def _found(self, guard: Guard, found: Record | StoreError | None) -> None:
+    # -- store results, on the event loop
+    def _on_record_read(self, guard: Guard, found: Record | StoreError | None) -> None:
         effect: Effect | None = None
         problem = found if isinstance(found, StoreError) else None
         if isinstance(found, Record):
             try:
                 effect = decode(found.value)
             except ValueError as error:
-                problem = StoreError(f"a record is not ours: {error}")
+                problem = StoreError(f"not an idempotency record: {error}")
         if problem is not None or guard.over:
             if problem is not None:
-                log.error("what became of a request cannot be read: %s", problem)
+                log.error("an idempotency record cannot be read: %s", problem)
                 self.refused += 1
-            self.memory.unread(guard.key)
+            self.tracker.read_failed(guard.key)
             self._answer(guard, guard.busy)
             return
-        verdict = self.memory.found(guard.key, effect, self.clock())
-        answer = self._act(guard, verdict)
+        decision = self.tracker.record_read(guard.key, effect, self.clock())
+        answer = self._apply_decision(guard, decision)
         if answer is not None:
             self._answer(guard, answer)
-        elif not self._waits(guard):
+        elif not self._is_waiting(guard):
             self._stop_timer(guard)
 
-    def _durable(self, guard: Guard, verdict: Begin, problem: StoreError | None) -> None:
+    def _on_intent_durable(self, guard: Guard, decision: Start, problem: StoreError | None) -> None:
         self._stop_timer(guard)
         if problem is not None:
-            self._answer(guard, self._unwritten(guard, verdict, problem))
+            self._answer(guard, self._intent_not_written(guard, decision, problem))
             return
-        self.memory.durable(guard.key)
-        if guard.over:  # its client has left or was refused: it is never sent
-            self._close(guard, End.NEVER_RAN, 0)
+        self.tracker.intent_durable(guard.key)
+        if guard.over:  # its client left or was already answered: never send it
+            self._write_outcome(guard, Outcome.NEVER_RAN, 0)
         else:
-            guard.go(self._earlier(verdict))
+            guard.send(self._since_earlier_ms(decision))
 
-    def _too_late(self, guard: Guard) -> None:
-        """The disk is too slow for this client. Nothing was sent."""
+    def _on_deadline(self, guard: Guard) -> None:
+        """The deadline passed while the request waited for the disk. Nothing was sent."""
         guard.timer = None
         self.refused += 1
         self._answer(guard, guard.busy)
@@ -212,38 +223,39 @@
             self.cancel(guard.timer)
             guard.timer = None
 
-    # -- the request ends
+    # -- request end
     def ended(self, guard: Guard, status: int, ran: bool) -> None:
+        """Records the outcome of a request. `ran`: an attempt may have run, or may still run."""
         self._stop_timer(guard)
-        if guard.held is None or guard.held.phase is not Phase.OUT:
-            return  # it waits for the store still, or was answered without being sent
-        end = End.SERVED if status == 200 else End.FAILED if ran else End.NEVER_RAN
-        self._close(guard, end, status)
-
-    def _close(self, guard: Guard, end: End, status: int) -> None:
-        held = self.memory.hand[guard.key]
-        effect = self.memory.ended(guard.key, end, status)
-        change = Change(Kind.DELETE, guard.key) if effect is None else self._put(guard, effect)
+        if guard.active_key is None or guard.active_key.phase is not Phase.OUT:
+            return  # still waiting for the store, or answered without being sent
+        outcome = Outcome.SERVED if status == 200 else Outcome.FAILED if ran else Outcome.NEVER_RAN
+        self._write_outcome(guard, outcome, status)
+
+    def _write_outcome(self, guard: Guard, outcome: Outcome, status: int) -> None:
+        active_key = self.tracker.active[guard.key]
+        effect = self.tracker.request_ended(guard.key, outcome, status)
+        change = Change(Kind.DELETE, guard.key) if effect is None else self._put_change(guard, effect)
         try:
-            self.committer.submit([change], partial(self._closed, guard.key, held))
+            self.committer.submit([change], partial(self._on_outcome_written, guard.key, active_key))
         except StoreError as error:
-            self._closed(guard.key, held, error)
+            self._on_outcome_written(guard.key, active_key, error)
 
-    def _closed(self, key: bytes, held: Held, problem: StoreError | None) -> None:
-        if problem is not None:  # the intent stands: it is held to have run, which is safe
-            log.warning("the end of a request is not written: %s", problem)
-        self.memory.closed(key, held)
+    def _on_outcome_written(self, key: bytes, active_key: ActiveKey, problem: StoreError | None) -> None:
+        if problem is not None:  # the intent remains: the request counts as possibly run, which is safe
+            log.warning("the outcome of a request could not be written: %s", problem)
+        self.tracker.outcome_written(key, active_key)
 
     def figures(self) -> dict[str, Any]:
-        """For the console and the administration API."""
-        counts, store = self.memory.counts, self.committer.figures
+        """Metrics for the console and the administration API."""
+        counts, store = self.tracker.counts, self.committer.figures
         return {
             "store": self.committer.state.value,
-            "in_hand": len(self.memory.hand),
-            "begun": counts.begun,
-            "sent_again": counts.again,
-            "told": counts.told,
-            "denied": dict(counts.denied),
+            "in_hand": len(self.tracker.active),
+            "begun": counts.started,
+            "sent_again": counts.restarted,
+            "told": counts.replayed,
+            "denied": dict(counts.rejected),
             "refused": self.refused,
             "keys": len(self.committer.engine.index),
             "commits": store.commits,
@@ -254,13 +266,13 @@
         }
 
 
-def _ignore(problem: StoreError | None) -> None:
+def _log_write_error(problem: StoreError | None) -> None:
     if problem is not None:
-        log.warning("an intent was sent on and is not written: %s", problem)
+        log.warning("a request was sent, but its intent could not be written: %s", problem)
 
 
-def told(status: int) -> LocalReply:
-    """A repeat of what was served: its fate, as answers are not kept."""
+def replay_reply(status: int) -> LocalReply:
+    """The reply to a repeat of a served request: its fate and status only, as bodies are not stored."""
     body = json.dumps({"fate": "served", "status": status}).encode()
     return LocalReply(
         200,
@@ -273,15 +285,16 @@
     )
 
 
-def denied(why: Why) -> LocalReply:
-    if why is Why.MISMATCH:
+def rejection_reply(reason: RejectReason) -> LocalReply:
+    """The problem reply to a rejected request."""
+    if reason is RejectReason.MISMATCH:
         return reply(422, "idempotency-key-reused", "Use a new Idempotency-Key for another request.")
-    if why is Why.IN_HAND:
+    if reason is RejectReason.IN_PROGRESS:
         return reply(
             409,
             "idempotency-in-hand",
             "The first request under this key is not over.",
-            RETRY_S,
+            RETRY_AFTER_S,
             fate="in-hand",
         )
     return reply(
--- a/notchflow/effects/memory.py
+++ b/notchflow/effects/memory.py
@@ -1,17 +1,17 @@
-"""The memory of effects: what a request with an idempotency key may do, by what is known of the key.
+"""The idempotency state machine: decides what a request with an idempotency key may do.
 
-A state machine without I/O and without a clock. It is told what comes (a request, what the store holds, that
-an intent is durable, how a request ended) and answers with what to do. Each key in hand is in one state:
+It has no I/O and no clock. Its inputs are events (a request arrived, a record was read, an intent became
+durable, a request ended); its outputs are decisions. Each active key is in one phase:
 
-    LOOKING   a record of it is being read
-    WRITING   its intent is on the way to the disk: nothing may be sent
-    OUT       it may be running
-    CLOSING   it is over; what became of it is on the way to the disk
+    LOOKING   its record is being read
+    WRITING   its intent is being written: nothing may be sent yet
+    OUT       the request was sent and may be running
+    CLOSING   the request has ended and its outcome is being written
 
-Rules: of an unsafe request the intent is durable before its first byte leaves. Under one key nothing is sent
-a second time, unless it is certain that nothing ran, or the class is keyed, its boxes still drop a repeat,
-and the clock that says so has run on since (a wall clock is never asked). A key that is in hand is not sent
-beside itself.
+Rules: the intent of an unsafe request is durable before its first byte is sent. A request is sent a second
+time under the same key only if it is certain that nothing ran, or if the class is keyed, its nodes still
+deduplicate the key, and the boot clock that measures this window has not been reset (the wall clock is never
+used). An active key never has two requests in flight.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from notchflow.effects.record import Effect, Fate
 from notchflow.interface import Effect as Kind
 
-MARGIN_MS: Final = 25  # a window ends so much earlier here: a box counts from when it had the request
+MARGIN_MS: Final = 25  # closes the window early: a node starts counting when it receives the request
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """What is remembered of a class: for how long (ms), and for how long boxes drop a repeat (ms, keyed
-    alone)."""
+    """How a class is remembered: `keep_ms` is the lifetime of its records, `window_ms` how long nodes
+    deduplicate a key (keyed classes only)."""
 
     kind: Kind
     keep_ms: int
@@ -37,53 +37,54 @@
 
     def __post_init__(self) -> None:
         if self.kind is Kind.SAFE:
-            raise ValueError("a safe class has no effects to remember")
+            raise ValueError("a safe class needs no idempotency records")
         if self.keep_ms <= self.window_ms:
-            raise ValueError(f"kept for {self.keep_ms} ms, no longer than the window, {self.window_ms:g}")
+            raise ValueError(f"keep_ms {self.keep_ms} is not longer than the window, {self.window_ms:g} ms")
 
 
-class Why(Enum):
-    """Why a request is not sent."""
+class RejectReason(Enum):
+    """Why a request is rejected."""
 
-    IN_HAND = "in-hand"  # the first one is not over
-    UNKNOWN = "unknown"  # it may have run, and nobody can say
-    MISMATCH = "mismatch"  # the key stands for another request
+    IN_PROGRESS = "in-hand"  # an earlier request under the key is in progress
+    UNKNOWN = "unknown"  # an earlier request may have run; its outcome is not known
+    MISMATCH = "mismatch"  # the key was used for a different request
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """Read the key's record, then tell `found`."""
+class ReadRecord:
+    """Read the key's record, then call `record_read` or `read_failed`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """Write this; send once it is durable where `wait` says so, else at once. `earlier_ms`: when an attempt
-    under this key may first have run, on the clock of this boot; none where none has."""
+class Start:
+    """Write `effect` and send the request: once the record is durable if `wait` is set, else at once.
+    `earlier_attempt_ms` is when an attempt under this key may first have run, on this boot's clock; None if
+    none has."""
 
     effect: Effect
     wait: bool
-    earlier_ms: int | None = None
+    earlier_attempt_ms: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Do not send: it was served, with this status."""
+class Replay:
+    """Do not send: an earlier request was served with this status, which is replayed."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
-class Deny:
-    """Do not send."""
+class Reject:
+    """Do not send: reject the request."""
 
-    why: Why
+    reason: RejectReason
 
 
-Verdict: TypeAlias = Look | Begin | Tell | Deny
+Decision: TypeAlias = ReadRecord | Start | Replay | Reject
 
 
 class Phase(Enum):
-    """Where a key in hand is."""
+    """The phase of an active key."""
 
     LOOKING = "looking"
     WRITING = "writing"
@@ -91,147 +92,155 @@
     CLOSING = "closing"
 
 
-class End(Enum):
-    """How a request that was begun ended."""
+class Outcome(Enum):
+    """How a started request ended."""
 
     SERVED = "served"
     NEVER_RAN = "never ran"
     FAILED = "failed"
 
 
-class IllegalStep(Exception):
-    """What was told cannot happen in this state: a fault of the caller's."""
+class InvalidTransition(Exception):
+    """The event is not possible in the key's phase: a bug in the calling code."""
 
 
 @dataclass(slots=True)
-class Held:
-    """A key in hand."""
+class ActiveKey:
+    """The state of a key whose request is in progress."""
 
     phase: Phase
     rule: Rule
     fingerprint: bytes
-    effect: Effect | None = None  # what was last written, or is being written
-    again: bool = False  # an earlier request under the key may have run
-    freed: bool = False  # closing: nothing ran, the record goes
+    effect: Effect | None = None  # the record last written, or being written
+    restarted: bool = False  # an earlier request under the key may have run
+    deleting_record: bool = False  # closing: nothing ran, the record is being deleted
 
 
 @dataclass(slots=True)
 class Counts:
-    """Verdicts, by what they were."""
+    """Number of decisions by type."""
 
-    begun: int = 0
-    again: int = 0
-    told: int = 0
-    denied: dict[str, int] = field(default_factory=lambda: {why.value: 0 for why in Why})
+    started: int = 0
+    restarted: int = 0
+    replayed: int = 0
+    rejected: dict[str, int] = field(default_factory=lambda: {reason.value: 0 for reason in RejectReason})
 
 
-class Memory:
-    """`boot` names this run of the machine."""
+class IdempotencyTracker:
+    """The active keys. `boot` identifies the machine's current boot."""
 
     def __init__(self, boot: int) -> None:
         self.boot = boot
-        self.hand: dict[bytes, Held] = {}
+        self.active: dict[bytes, ActiveKey] = {}
         self.counts = Counts()
 
-    # -- a request comes
-    def ask(self, key: bytes, fingerprint: bytes, rule: Rule, now_ms: int, known: bool) -> Verdict:
-        """`now_ms`: on the clock of this boot. `known`: whether the store has a record of the key."""
-        held = self.hand.get(key)
-        if held is None:
+    # -- request arrival
+    def request_arrived(
+        self, key: bytes, fingerprint: bytes, rule: Rule, now_ms: int, known: bool
+    ) -> Decision:
+        """Decides on a new request. `now_ms` is on this boot's clock; `known` says whether the store has a
+        record of the key."""
+        active_key = self.active.get(key)
+        if active_key is None:
             if known:
-                self.hand[key] = Held(Phase.LOOKING, rule, fingerprint)
-                return Look()
-            return self._begin(key, fingerprint, rule, now_ms, None)
-        if held.fingerprint != fingerprint:
-            return self._deny(Why.MISMATCH)
-        if held.phase is not Phase.CLOSING or held.effect is None:
-            return self._deny(Why.IN_HAND)
-        if held.freed:  # that it is free is on the way to the disk, and gets there before what comes now
-            return self._begin(key, fingerprint, rule, now_ms, None)
-        return self._by_record(key, held.effect, rule, now_ms)
-
-    def found(self, key: bytes, effect: Effect | None, now_ms: int) -> Verdict:
-        """What the store held of a key, after `Look`."""
-        held = self._in(key, Phase.LOOKING)
-        del self.hand[key]
+                self.active[key] = ActiveKey(Phase.LOOKING, rule, fingerprint)
+                return ReadRecord()
+            return self._start(key, fingerprint, rule, now_ms, None)
+        if active_key.fingerprint != fingerprint:
+            return self._reject(RejectReason.MISMATCH)
+        if active_key.phase is not Phase.CLOSING or active_key.effect is None:
+            return self._reject(RejectReason.IN_PROGRESS)
+        if active_key.deleting_record:  # the queued delete is written before the intent of this request
+            return self._start(key, fingerprint, rule, now_ms, None)
+        return self._decide_by_record(key, active_key.effect, rule, now_ms)
+
+    def record_read(self, key: bytes, effect: Effect | None, now_ms: int) -> Decision:
+        """Decides once the record has been read; `effect` is None if the store has none."""
+        active_key = self._active_in(key, Phase.LOOKING)
+        del self.active[key]
         if effect is None:
-            return self._begin(key, held.fingerprint, held.rule, now_ms, None)
-        if effect.fingerprint != held.fingerprint:
-            return self._deny(Why.MISMATCH)
-        return self._by_record(key, effect, held.rule, now_ms)
+            return self._start(key, active_key.fingerprint, active_key.rule, now_ms, None)
+        if effect.fingerprint != active_key.fingerprint:
+            return self._reject(RejectReason.MISMATCH)
+        return self._decide_by_record(key, effect, active_key.rule, now_ms)
 
-    def _by_record(self, key: bytes, effect: Effect, rule: Rule, now_ms: int) -> Verdict:
+    def _decide_by_record(self, key: bytes, effect: Effect, rule: Rule, now_ms: int) -> Decision:
         if self._window_open(effect, rule, now_ms):
-            return self._begin(key, effect.fingerprint, rule, now_ms, effect)
+            return self._start(key, effect.fingerprint, rule, now_ms, effect)
         if effect.fate is Fate.SERVED:
-            self.counts.told += 1
-            return Tell(effect.status)
-        return self._deny(Why.UNKNOWN)
+            self.counts.replayed += 1
+            return Replay(effect.status)
+        return self._reject(RejectReason.UNKNOWN)
 
     def _window_open(self, effect: Effect, rule: Rule, now_ms: int) -> bool:
-        """Only on the same boot's clock, which no step of the wall clock moves and no crash of ours ends."""
+        """Whether nodes still deduplicate the key. Valid only within the same boot: its clock is affected
+        neither by wall clock steps nor by a restart of the proxy."""
         return (
             rule.kind is Kind.KEYED
             and effect.boot == self.boot
             and effect.first_ms <= now_ms < effect.first_ms + rule.window_ms - MARGIN_MS
         )
 
-    def _begin(self, key: bytes, fingerprint: bytes, rule: Rule, now_ms: int, before: Effect | None) -> Begin:
-        first = before.first_ms if before is not None else now_ms
+    def _start(
+        self, key: bytes, fingerprint: bytes, rule: Rule, now_ms: int, earlier: Effect | None
+    ) -> Start:
+        first = earlier.first_ms if earlier is not None else now_ms
         effect = Effect(Fate.INTENDED, fingerprint, self.boot, first)
         wait = rule.kind is Kind.UNSAFE
         phase = Phase.WRITING if wait else Phase.OUT
-        self.hand[key] = Held(phase, rule, fingerprint, effect, before is not None)
-        if before is None:
-            self.counts.begun += 1
+        self.active[key] = ActiveKey(phase, rule, fingerprint, effect, earlier is not None)
+        if earlier is None:
+            self.counts.started += 1
         else:
-            self.counts.again += 1
-        return Begin(effect, wait, None if before is None else first)
-
-    def _deny(self, why: Why) -> Deny:
-        self.counts.denied[why.value] += 1
-        return Deny(why)
-
-    # -- the store answers
-    def unread(self, key: bytes) -> None:
-        """The record cannot be read: the request is refused, and the key is as it was."""
-        self._in(key, Phase.LOOKING)
-        del self.hand[key]
-
-    def durable(self, key: bytes) -> None:
-        """The intent is: the request may be sent."""
-        self._in(key, Phase.WRITING).phase = Phase.OUT
-
-    def not_durable(self, key: bytes) -> None:
-        """The intent is not, and nothing is sent. It may be on the disk all the same: then the key is held to
-        have run after a restart, which is safe."""
-        self._in(key, Phase.WRITING)
-        del self.hand[key]
-
-    # -- a request ends
-    def ended(self, key: bytes, end: End, status: int = 0) -> Effect | None:
-        """What to write now: a record, or none where the key is to be free again. Then tell `closed`, with
-        what is in hand under the key."""
-        held = self._in(key, Phase.OUT)
-        assert held.effect is not None
-        held.phase = Phase.CLOSING
-        # Under a key that went out before, the earlier one may have run whatever became of this one.
-        held.freed = end is End.NEVER_RAN and not held.again
-        if held.freed:
+            self.counts.restarted += 1
+        return Start(effect, wait, None if earlier is None else first)
+
+    def _reject(self, reason: RejectReason) -> Reject:
+        self.counts.rejected[reason.value] += 1
+        return Reject(reason)
+
+    # -- store results
+    def read_failed(self, key: bytes) -> None:
+        """The record could not be read: the request is rejected and the key is no longer active."""
+        self._active_in(key, Phase.LOOKING)
+        del self.active[key]
+
+    def intent_durable(self, key: bytes) -> None:
+        """The intent is durable: the request may be sent."""
+        self._active_in(key, Phase.WRITING).phase = Phase.OUT
+
+    def intent_failed(self, key: bytes) -> None:
+        """The intent could not be made durable, and nothing is sent. It may still have reached the disk:
+        after a restart the request then counts as possibly run, which is safe."""
+        self._active_in(key, Phase.WRITING)
+        del self.active[key]
+
+    # -- request end
+    def request_ended(self, key: bytes, outcome: Outcome, status: int = 0) -> Effect | None:
+        """Returns the record to write, or None if the key's record is to be deleted. Call `outcome_written`
+        with the key's state afterwards."""
+        active_key = self._active_in(key, Phase.OUT)
+        assert active_key.effect is not None
+        active_key.phase = Phase.CLOSING
+        # If the key was sent before, the earlier request may have run whatever became of this one.
+        active_key.deleting_record = outcome is Outcome.NEVER_RAN and not active_key.restarted
+        if active_key.deleting_record:
             return None
-        fate = Fate.SERVED if end is End.SERVED else Fate.FAILED
-        held.effect = replace(held.effect, fate=fate, status=status if end is End.SERVED else 0)
-        return held.effect
-
-    def closed(self, key: bytes, held: Held) -> None:
-        """What was written of this turn is durable, or cannot be: the store has the last word on the key
-        from now on, unless the key is in hand again."""
-        if self.hand.get(key) is held:
-            del self.hand[key]
-
-    def _in(self, key: bytes, phase: Phase) -> Held:
-        held = self.hand.get(key)
-        if held is None or held.phase is not phase:
-            state = held.phase.value if held is not None else "not in hand"
-            raise IllegalStep(f"a key is {state}, and not {phase.value}")
-        return held
+        fate = Fate.SERVED if outcome is Outcome.SERVED else Fate.FAILED
+        active_key.effect = replace(
+            active_key.effect, fate=fate, status=status if outcome is Outcome.SERVED else 0
+        )
+        return active_key.effect
+
+    def outcome_written(self, key: bytes, active_key: ActiveKey) -> None:
+        """The outcome is durable or could not be written: from now on the stored record decides, unless the
+        key is active again."""
+        if self.active.get(key) is active_key:
+            del self.active[key]
+
+    def _active_in(self, key: bytes, phase: Phase) -> ActiveKey:
+        active_key = self.active.get(key)
+        if active_key is None or active_key.phase is not phase:
+            state = active_key.phase.value if active_key is not None else "not active"
+            raise InvalidTransition(f"invalid transition: the key is {state}, expected {phase.value}")
+        return active_key
--- a/notchflow/effects/record.py
+++ b/notchflow/effects/record.py
@@ -1,5 +1,5 @@
-"""What is kept of one idempotency key: no part of the request but a fingerprint, no part of the answer but
-its status."""
+"""The stored record of an idempotency key: a fingerprint of the request and the status of its response.
+Neither request nor response bodies are stored."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 _RECORD: Final = struct.Struct("<BBH16sQQ")  # version, fate, status, fingerprint, boot, first sent
 VERSION: Final = 1
-FINGERPRINT: Final = 16
+FINGERPRINT_BYTES: Final = 16
 
 
 class Fate(IntEnum):
-    """What is known of a request. That it never ran is not kept: its key is free again."""
+    """What is known of a request. A request that never ran has no record: its key may be used again."""
 
-    INTENDED = 1  # it may have run, or may yet: its end was not recorded
+    INTENDED = 1  # it may have run, or may still run: its end was not recorded
     SERVED = 2
-    FAILED = 3  # it may have run: no answer came that says so or denies it
+    FAILED = 3  # it may have run: no response confirmed or ruled it out
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """`boot` names the run of the machine whose clock `first_ms` is on: an attempt may have run from then
-    on."""
+    """The record of one key. An attempt may have run from `first_ms` on, which is on the clock of the
+    machine's boot `boot`."""
 
     fate: Fate
     fingerprint: bytes
@@ -35,21 +35,22 @@
     status: int = 0
 
     def encode(self) -> bytes:
+        """The stored form."""
         return _RECORD.pack(VERSION, self.fate, self.status, self.fingerprint, self.boot, self.first_ms)
 
 
 def decode(data: bytes) -> Effect:
-    """ValueError for anything else."""
+    """Decodes a stored record. Raises ValueError if `data` is not one."""
     if len(data) != _RECORD.size or data[0] != VERSION:
-        raise ValueError(f"an effect's record has {_RECORD.size} bytes of version {VERSION}")
+        raise ValueError(f"expected an idempotency record of {_RECORD.size} bytes, version {VERSION}")
     _, fate, status, fingerprint, boot, first_ms = _RECORD.unpack(data)
     return Effect(Fate(fate), fingerprint, boot, first_ms, status)
 
 
 def fingerprint(method: bytes, target: bytes, body: Iterable[bytes]) -> bytes:
-    """Tells one request from another under the same key; lengths keep parts from running into one another."""
-    found = hashlib.blake2b(digest_size=FINGERPRINT)
-    found.update(b"%d %b %d %b " % (len(method), method, len(target), target))
+    """Distinguishes requests under the same key. Length prefixes keep method, target and body apart."""
+    hasher = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
+    hasher.update(b"%d %b %d %b " % (len(method), method, len(target), target))
     for piece in body:
-        found.update(piece)
-    return found.digest()
+        hasher.update(piece)
+    return hasher.digest()
--- a/tests/effects/test_keeper.py
+++ b/tests/effects/test_keeper.py
@@ -1,4 +1,4 @@
-"""The keeper between door and store: full and slow disks, clients that leave, records that cannot be read."""
+"""The idempotency service on a store: full, failed and slow disks, clients that leave, unreadable records."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 
 
 class Client:
-    """Takes answers that come later."""
+    """Collects the replies that come later."""
 
     buffered_bytes = 0
 
     def __init__(self) -> None:
-        self.told: list[LocalReply] = []
+        self.replies: list[LocalReply] = []
 
     def answer(self, call: ClientRequest, reply: LocalReply) -> None:
-        self.told.append(reply)
+        self.replies.append(reply)
 
 
-class Bench:
-    """A keeper on a store in a folder that fails, with timers that the test fires."""
+class Harness:
+    """A `Keeper` on a store with fault injection, with timers that the test fires."""
 
     classes = {"pay": 1_000.0, "slot": 1_000.0}
 
@@ -62,7 +62,7 @@
         del self.timers[handle]
 
     def fire(self) -> None:
-        """Every deadline that is set passes."""
+        """Fires every timer that is set."""
         timers, self.timers = self.timers, {}
         for call, argument in timers.values():
             call(argument)
@@ -76,144 +76,148 @@
         return guard, client, guard.begin(call, cls)
 
 
-def test_a_full_disk_in_a_crush_refuses_payments_unsent_and_takes_them_once_there_is_room() -> None:
+def test_a_full_disk_sheds_payments_unsent_and_accepts_them_once_there_is_space() -> None:
     async def test() -> None:
-        bench = Bench(FaultyFiles())
-        bench.files.capacity = sum(len(i.seen) for i in bench.files.files.values()) + 10
-        asked = [bench.ask(b"o-%d" % n) for n in range(200)]
-        await until(lambda: all(client.told or reply for _, client, reply in asked))
-        assert {reply or client.told[0] for _, client, reply in asked} == {BUSY}
-        assert bench.sent == [] and bench.keeper.memory.hand == {} and bench.timers == {}
-        assert bench.keeper.refused == 200 and bench.keeper.figures()["store"] == "full"
-        bench.files.capacity = None
+        harness = Harness(FaultyFiles())
+        harness.files.capacity = sum(len(i.seen) for i in harness.files.files.values()) + 10
+        asked = [harness.ask(b"o-%d" % n) for n in range(200)]
+        await until(lambda: all(client.replies or reply for _, client, reply in asked))
+        assert {reply or client.replies[0] for _, client, reply in asked} == {BUSY}
+        assert harness.sent == [] and harness.keeper.tracker.active == {} and harness.timers == {}
+        assert harness.keeper.refused == 200 and harness.keeper.figures()["store"] == "full"
+        harness.files.capacity = None
         for n in range(200):
-            assert bench.ask(b"o-%d" % n)[2] is None
-        await until(lambda: len(bench.sent) == 200)
-        assert bench.keeper.figures()["store"] == "open"
-        bench.store.stop()
+            assert harness.ask(b"o-%d" % n)[2] is None
+        await until(lambda: len(harness.sent) == 200)
+        assert harness.keeper.figures()["store"] == "open"
+        harness.store.stop()
 
     run(test())
 
 
-def test_a_disk_that_failed_refuses_what_must_be_remembered_until_a_restart() -> None:
+def test_a_failed_disk_sheds_requests_that_need_a_record_until_a_restart() -> None:
     async def test() -> None:
-        bench = Bench(FaultyFiles())
-        bench.files.errors = {bench.files.operations + 2: errno.EIO}
-        _, client, reply = bench.ask(b"o-1")
-        await until(lambda: client.told)
-        assert reply is None and client.told == [BUSY]
+        harness = Harness(FaultyFiles())
+        harness.files.errors = {harness.files.operations + 2: errno.EIO}
+        _, client, reply = harness.ask(b"o-1")
+        await until(lambda: client.replies)
+        assert reply is None and client.replies == [BUSY]
         for cls in ("pay", "slot"):
-            assert bench.ask(b"o-2", cls)[2] is BUSY
-        assert bench.sent == [] and bench.keeper.memory.hand == {}
-        bench.store.stop()
+            assert harness.ask(b"o-2", cls)[2] is BUSY
+        assert harness.sent == [] and harness.keeper.tracker.active == {}
+        harness.store.stop()
 
     run(test())
 
 
-def test_a_slow_disk_refuses_at_the_deadline_and_what_was_refused_is_never_sent(
+def test_a_slow_disk_sheds_a_request_at_its_deadline_and_never_sends_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         slow = Slow(monkeypatch)
-        bench = Bench(FaultyFiles())
+        harness = Harness(FaultyFiles())
         slow.go.clear()
-        guard, client, reply = bench.ask(b"o-1")
-        assert reply is None and len(bench.timers) == 1
-        bench.fire()
-        assert client.told == [BUSY]
+        guard, client, reply = harness.ask(b"o-1")
+        assert reply is None and len(harness.timers) == 1
+        harness.fire()
+        assert client.replies == [BUSY]
         guard.ended(503, False)
-        assert bench.ask(b"o-1")[2] is not BUSY, "it is in hand until the disk has spoken"
+        assert harness.ask(b"o-1")[2] is not BUSY, "the key is active until the write has ended"
         slow.go.set()
-        await until(lambda: not bench.keeper.memory.hand)
-        assert bench.sent == []
-        assert bench.ask(b"o-1")[2] is None
-        await until(lambda: bench.sent == [b"o-1"])
-        bench.store.stop()
+        await until(lambda: not harness.keeper.tracker.active)
+        assert harness.sent == []
+        assert harness.ask(b"o-1")[2] is None
+        await until(lambda: harness.sent == [b"o-1"])
+        harness.store.stop()
 
     run(test())
 
 
-def test_a_client_that_leaves_while_its_intent_is_written_frees_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_leaves_while_its_intent_is_written_frees_its_key(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         slow = Slow(monkeypatch)
-        bench = Bench(FaultyFiles())
+        harness = Harness(FaultyFiles())
         slow.go.clear()
-        guard, _, _ = bench.ask(b"o-1")
+        guard, _, _ = harness.ask(b"o-1")
         guard.ended(0, False)
         slow.go.set()
-        await until(lambda: not bench.keeper.memory.hand)
-        assert bench.sent == [] and bench.timers == {}
-        await until(lambda: not bench.store.known(b"o-1"))
-        bench.store.stop()
+        await until(lambda: not harness.keeper.tracker.active)
+        assert harness.sent == [] and harness.timers == {}
+        await until(lambda: not harness.store.known(b"o-1"))
+        harness.store.stop()
 
     run(test())
 
 
-def test_the_end_of_another_request_under_the_key_changes_nothing_of_the_first() -> None:
-    """Guards against a repeat's answer being taken for the end of the one that is out."""
+def test_the_end_of_a_rejected_repeat_does_not_end_the_first_request() -> None:
+    """Guards against recording the reply to a repeat as the outcome of the request that is still running."""
 
     async def test() -> None:
-        bench = Bench(FaultyFiles())
-        first, _, _ = bench.ask(b"o-1")
-        await until(lambda: bench.sent)
-        second, _, reply = bench.ask(b"o-1")
+        harness = Harness(FaultyFiles())
+        first, _, _ = harness.ask(b"o-1")
+        await until(lambda: harness.sent)
+        second, _, reply = harness.ask(b"o-1")
         assert reply is not None and reply.status == 409
         second.ended(409, False)
-        assert bench.ask(b"o-1")[2] is not None, "the first is out still"
+        assert harness.ask(b"o-1")[2] is not None, "the first is still running"
         first.ended(200, True)
-        await until(lambda: not bench.keeper.memory.hand)
-        _, client, reply = bench.ask(b"o-1")
-        await until(lambda: client.told)
-        assert reply is None and client.told[0].status == 200 and b"served" in client.told[0].body
-        bench.store.stop()
+        await until(lambda: not harness.keeper.tracker.active)
+        _, client, reply = harness.ask(b"o-1")
+        await until(lambda: client.replies)
+        assert reply is None and client.replies[0].status == 200 and b"served" in client.replies[0].body
+        harness.store.stop()
 
     run(test())
 
 
-def test_a_record_that_is_not_ours_or_cannot_be_read_is_refused_and_not_sent() -> None:
+def test_a_foreign_or_unreadable_record_sheds_the_request_unsent() -> None:
     async def test() -> None:
-        bench = Bench(FaultyFiles())
+        harness = Harness(FaultyFiles())
         from notchflow.store.engine import Change
         from notchflow.store.frames import Kind as Record
 
         done: list[object] = []
         effect = Effect(Fate.SERVED, b"f" * 16, 7, 1, 200).encode()
         changes = [Change(Record.PUT, b"odd", b"?"), Change(Record.PUT, b"bent", effect)]
-        bench.store.submit(changes, done.append)
+        harness.store.submit(changes, done.append)
         await until(lambda: done)
-        entry = bench.store.engine.index.get(b"bent")
+        entry = harness.store.engine.index.get(b"bent")
         assert entry is not None
-        name = next(n for n in bench.files.files if n.endswith(".log"))
-        bench.files.files[name].seen[entry.offset + entry.length - 1] ^= 1
+        name = next(n for n in harness.files.files if n.endswith(".log"))
+        harness.files.files[name].seen[entry.offset + entry.length - 1] ^= 1
         for key in (b"odd", b"bent"):
-            _, client, reply = bench.ask(key)
-            await until(lambda c=client: c.told)  # type: ignore[misc]
-            assert reply is None and client.told == [BUSY]
-        assert bench.sent == [] and bench.keeper.memory.hand == {}
-        bench.store.stop()
+            _, client, reply = harness.ask(key)
+            await until(lambda c=client: c.replies)  # type: ignore[misc]
+            assert reply is None and client.replies == [BUSY]
+        assert harness.sent == [] and harness.keeper.tracker.active == {}
+        harness.store.stop()
 
     run(test())
 
 
-def test_a_keyed_write_is_sent_at_once_and_known_to_have_been() -> None:
+def test_a_keyed_request_is_sent_at_once_and_its_record_rejects_a_late_repeat() -> None:
     async def test() -> None:
-        bench = Bench(FaultyFiles())
-        guard, _, reply = bench.ask(b"s-1", "slot")
-        assert reply is None and bench.sent == [b"s-1"], "it does not wait for the disk"
+        harness = Harness(FaultyFiles())
+        guard, _, reply = harness.ask(b"s-1", "slot")
+        assert reply is None and harness.sent == [b"s-1"], "the disk is not waited for"
         guard.ended(502, True)
-        await until(lambda: not bench.keeper.memory.hand)
-        bench.now += 400
-        _, client, _ = bench.ask(b"s-1", "slot")
-        await until(lambda: len(bench.sent) == 2)
-        bench.keeper.memory.hand.clear()
-        bench.now += 400
-        _, client, _ = bench.ask(b"s-1", "slot")
-        await until(lambda: client.told)
-        assert client.told[0].status == 409 and len(bench.sent) == 2, "the window is over"
-        bench.store.stop()
+        await until(lambda: not harness.keeper.tracker.active)
+        harness.now += 400
+        _, client, _ = harness.ask(b"s-1", "slot")
+        await until(lambda: len(harness.sent) == 2)
+        harness.keeper.tracker.active.clear()
+        harness.now += 400
+        _, client, _ = harness.ask(b"s-1", "slot")
+        await until(lambda: client.replies)
+        assert (
+            client.replies[0].status == 409 and len(harness.sent) == 2
+        ), "the deduplication window has closed"
+        harness.store.stop()
 
     run(test())
 
 
-def test_a_boot_has_one_name() -> None:
+def test_the_boot_id_is_stable() -> None:
     assert this_boot() == this_boot() != 0
