--- a/notchflow/effects/command.py
+++ b/notchflow/effects/command.py
@@ -34,10 +34,10 @@
 
 def _check(files: RealFiles, _: argparse.Namespace) -> int:
     report = tools.check(files)
-    for extent in report.extents:
+    for segment in report.segments:
         print(
-            f"{extent.name}: {extent.length} bytes, {extent.batches} batches, {extent.records} records, "
-            f"numbers {extent.first} to {extent.last}"
+            f"{segment.name}: {segment.length} bytes, {segment.batches} batches, {segment.records} records, "
+            f"numbers {segment.first_number} to {segment.last_number}"
         )
     for damage in report.damages:
         print(damage)
--- a/notchflow/effects/keeper.py
+++ b/notchflow/effects/keeper.py
@@ -248,7 +248,7 @@
 
     def figures(self) -> dict[str, Any]:
         """Metrics for the console and the administration API."""
-        counts, store = self.tracker.counts, self.committer.figures
+        counts, store = self.tracker.counts, self.committer.metrics
         return {
             "store": self.committer.state.value,
             "in_hand": len(self.tracker.active),
@@ -260,9 +260,9 @@
             "keys": len(self.committer.engine.index),
             "commits": store.commits,
             "changes": store.changes,
-            "turned_away": store.turned_away,
-            "waiting_bytes": store.waiting,
-            "slowest_commit_ms": round(store.slowest_s * 1e3, 3),
+            "turned_away": store.rejected,
+            "waiting_bytes": store.queued_bytes,
+            "slowest_commit_ms": round(store.slowest_commit_s * 1e3, 3),
         }
 
 
--- a/notchflow/effects/memory.py
+++ b/notchflow/effects/memory.py
@@ -39,7 +39,7 @@
         if self.kind is Kind.SAFE:
             raise ValueError("a safe class needs no idempotency records")
         if self.keep_ms <= self.window_ms:
-            raise ValueError(f"keep_ms {self.keep_ms} is not longer than the window, {self.window_ms:g} ms")
+            raise ValueError(f"keep_ms: {self.keep_ms} ms is no longer than the window, {self.window_ms:g}")
 
 
 class RejectReason(Enum):
--- a/notchflow/store/__init__.py
+++ b/notchflow/store/__init__.py
@@ -1,2 +1,2 @@
-"""An embedded store that survives a crash: an append-only log in segments, its index, compaction,
+"""An embedded, crash-safe key-value store: an append-only log in segments with an index, compaction and
 recovery."""
--- a/notchflow/store/engine.py
+++ b/notchflow/store/engine.py
@@ -1,8 +1,8 @@
-"""The store itself, for one thread: recovery, appending, reading, compaction. It blocks on the disk.
+"""The storage engine, used by one thread: recovery, appends, reads, compaction. It blocks on the disk.
 
-What is acknowledged is durable. A sync that failed is never tried again: nothing is known of what it left,
-so that the store takes nothing more until it is opened anew (SQLite's and PostgreSQL's lesson). A disk that
-is full is another matter: nothing was begun, and it may have room again.
+An acknowledged change is durable. A failed sync is never retried: it is unknown which pages reached the disk,
+and a later sync may succeed without writing them (as SQLite and PostgreSQL loaded), so the store rejects
+writes until it is reopened. A full disk is different: the write is undone, and a later one may succeed.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 import numpy as np
 
 from notchflow.store import hints, manifest
-from notchflow.store.compaction import Extent, outlives, plan
-from notchflow.store.files import File, Files, discard, size_of
+from notchflow.store.compaction import SegmentStats, must_copy, select_segments
+from notchflow.store.files import File, Files, file_size, remove_if_exists
 from notchflow.store.frames import (
     BATCH_HEADER,
     BATCH_MAX,
@@ -26,7 +26,7 @@
     Batch,
     FrameError,
     Kind,
-    Placed,
+    LocatedRecord,
     Record,
     batch_length,
     check_sizes,
@@ -36,59 +36,59 @@
     encode_fields,
     encode_segment_header,
     expired,
+    find_batch,
     join_batch,
-    later,
-    next_batch,
+    later_expiry,
 )
-from notchflow.store.index import Index, Lines, digest
+from notchflow.store.index import EntryColumns, Index, digest
 from notchflow.store.manifest import Manifest, log_name
 
 log = logging.getLogger(__name__)
 
-FULL_ERRORS: Final = (errno.ENOSPC, errno.EDQUOT)
-COPY_BYTES: Final = 256 << 10  # of a compaction at a time: appends wait for no more than that
-MOVES: Final = 2_000  # entries of the index moved at a time
+DISK_FULL_ERRNOS: Final = (errno.ENOSPC, errno.EDQUOT)
+COPY_STEP_BYTES: Final = 256 << 10  # copied per compaction step: the longest that an append waits for one
+INDEX_STEP_ENTRIES: Final = 2_000  # index entries updated per compaction step
 
 
 class StoreError(Exception):
-    """The store cannot do what it was asked."""
+    """The store cannot perform an operation."""
 
 
-class Full(StoreError):
-    """The disk is full: nothing was written, and a later try may succeed."""
+class DiskFullError(StoreError):
+    """The disk is full: nothing was written, and a later attempt may succeed."""
 
 
-class Broken(StoreError):
-    """The disk failed: what was asked may be there after a restart or not; nothing more is taken until
-    then."""
+class StoreFailedError(StoreError):
+    """The disk failed or the store is closed: after a restart the changes may be there or not, and until then
+    all writes are rejected."""
 
 
-class Damaged(StoreError):
-    """A segment has a bad place that no crash leaves. Nothing was changed."""
+class CorruptionError(StoreError):
+    """A segment is corrupt in a way that no crash can cause. Nothing was changed."""
 
-    def __init__(self, name: str, offset: int, what: str) -> None:
+    def __init__(self, name: str, offset: int, reason: str) -> None:
         super().__init__(
-            f"{name}, offset {offset}: {what}; 'notchflow store check' tells what is lost, "
+            f"{name}, offset {offset}: {reason}; 'notchflow store check' tells what is lost, "
             "'notchflow store repair' sets it aside"
         )
-        self.name, self.offset, self.what = name, offset, what
+        self.name, self.offset, self.reason = name, offset, reason
 
 
-class State(Enum):
-    """What the store can do now."""
+class StoreState(Enum):
+    """The state of the store."""
 
     OPEN = "open"
-    FULL = "full"  # reads, and tries to write
-    BROKEN = "broken"  # reads alone
+    FULL = "full"  # the disk is full: reads work, writes are attempted
+    BROKEN = "broken"  # the disk failed: reads only
     CLOSED = "closed"
 
 
-Fields: TypeAlias = tuple[int, Kind, bytes, bytes, int]  # number, kind, key, value, expiry
+RecordFields: TypeAlias = tuple[int, Kind, bytes, bytes, int]  # number, kind, key, value, expiry
 
 
 class Change(NamedTuple):
-    """What a caller wants written. A key that is written again expires no earlier than it would have; a
-    delete needs no expiry."""
+    """A change to write. Overwriting a key never makes it expire earlier than before; a delete needs no
+    expiry."""
 
     kind: Kind
     key: bytes
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """`segment_max`: bytes after which a segment is sealed."""
+    """Options of a store. `segment_max` is the size in bytes at which a segment is sealed."""
 
     segment_max: int = 16 << 20
 
@@ -109,28 +109,28 @@
 
 @dataclass(slots=True)
 class Segment:
-    """One segment of the open store."""
+    """One segment of an open store."""
 
     number: int
     file: File
-    first: int
+    first_number: int
     end: int
-    graves: int = 0  # bytes of deletes
-    held: int = 0  # bytes copied only for as long as the segment that is written to may lose its end
+    tombstone_bytes: int = 0
+    pinned_bytes: int = 0  # bytes copied only because the end of the active segment may still be lost
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
-    """What a start found."""
+class RecoveryReport:
+    """The result of a recovery."""
 
     records: int  # live
-    torn: int  # bytes cut off the end
-    scanned: int  # bytes read, where no hint served
-    hinted: int  # segments that a hint served for
+    torn: int  # bytes of a torn write, cut off
+    scanned: int  # bytes of segments that were read as they had no valid hint file
+    hinted: int  # segments recovered from their hint files
 
 
 def read_batches(file: File, start: int, end: int) -> Iterator[Batch]:
-    """The batches between two offsets, one in memory at a time. FrameError."""
+    """The batches between two offsets, one in memory at a time. Raises FrameError."""
     while start < end:
         size = batch_length(file.read(start, min(BATCH_HEADER, end - start)), start)
         if start + size > end:
@@ -141,118 +141,120 @@
 
 
 class Engine:
-    """An open store. `clock`: milliseconds; it is never taken to go back, also over a restart."""
+    """An open store. `clock` returns milliseconds; the store's own clock never goes back, even if this one
+    does or the store is reopened."""
 
     def __init__(self, files: Files, clock: Callable[[], int], options: Options | None = None) -> None:
         self.files, self.clock, self.options = files, clock, options or Options()
         self.index = Index()
-        self.segments: dict[int, Segment] = {}  # in the order of the manifest; the last is written to
-        self.retired: dict[int, Segment] = {}  # merged already, read until the index has moved
-        self.unfit: set[int] = set()  # segments with a bad place: never merged
-        self.number = 1  # of the next record
+        self.segments: dict[int, Segment] = {}  # in manifest order; the last is the active segment
+        self.retired: dict[int, Segment] = {}  # already merged, still read until the index is updated
+        self.corrupt_segments: set[int] = set()  # never merged
+        self.next_number = 1  # of the next record
         self.next_segment = 1
-        self.latest = 0
-        self.state = State.CLOSED
-        self.deletes = hints.Columns()  # of the active segment
-        self.hidden: set[tuple[int, int]] = set()  # keys that it deletes, as digests
-        self.work: Generator[None, None, None] | None = None  # a compaction under way
-        self.written = self.copied = 0  # bytes appended by callers, and by compactions
+        self.latest_ms = 0
+        self.state = StoreState.CLOSED
+        self.tombstones = hints.HintColumns()  # of the active segment
+        self.deleted_digests: set[tuple[int, int]] = set()  # of keys that the active segment deletes
+        self.running_compaction: Generator[None, None, None] | None = None
+        self.written = self.copied = 0  # bytes written by appends and by compactions
         self.compactions = 0
 
     # -- time
     def now(self) -> int:
-        """The store's clock: the latest time that was ever seen."""
-        self.latest = max(self.latest, self.clock())
-        return self.latest
-
-    # -- start
-    def open(self) -> Recovered:
-        """Takes the folder and recovers what is there. Locked, Damaged, ManifestError, OSError."""
+        """The store's clock: the latest time ever seen, in milliseconds."""
+        self.latest_ms = max(self.latest_ms, self.clock())
+        return self.latest_ms
+
+    # -- recovery
+    def open(self) -> RecoveryReport:
+        """Locks the directory and recovers the store in it. Raises Locked, CorruptionError, ManifestError,
+        OSError."""
         self.files.lock()
         try:
-            found = manifest.load(self.files)
-            recovered = self._recover(found) if found is not None else self._begin()
-            self.state = State.OPEN
-            # Not clean from now on: what is cut off at the end is a torn write then, and no damage.
-            manifest.replace(self.files, self._manifest())
-            self._tidy()
+            loaded = manifest.load(self.files)
+            recovered = self._recover(loaded) if loaded is not None else self._create_store()
+            self.state = StoreState.OPEN
+            # No longer a clean shutdown: from now on an incomplete batch at the end is a torn write.
+            manifest.replace(self.files, self._current_manifest())
+            self._remove_orphans()
             return recovered
         except BaseException:
-            self.state = State.CLOSED
+            self.state = StoreState.CLOSED
             self._close_files()
             self.files.unlock()
             raise
 
-    def _begin(self) -> Recovered:
-        """A new store; a segment with no batch is what a crash in this place leaves."""
+    def _create_store(self) -> RecoveryReport:
+        """Creates a new store. A crash in here may leave a segment without batches, which is removed."""
         for name in self.files.names():
             number = manifest.segment_of(name)
             if number is None:
                 continue
-            if number != 1 or size_of(self.files, name) > SEGMENT_HEADER:
-                raise Damaged(name, 0, "there are segments, but no manifest")
+            if number != 1 or file_size(self.files, name) > SEGMENT_HEADER:
+                raise CorruptionError(name, 0, "there are segments, but no manifest")
             self.files.remove(name)
-        segment = self._create(1)
+        segment = self._create_segment(1)
         self.segments[1] = segment
         self.next_segment = 2
-        return Recovered(0, 0, 0, 0)
+        return RecoveryReport(0, 0, 0, 0)
 
-    def _recover(self, found: Manifest) -> Recovered:
-        self.latest, self.next_segment = found.clock, found.next_segment
-        lines: list[Lines] = []
+    def _recover(self, loaded: Manifest) -> RecoveryReport:
+        self.latest_ms, self.next_segment = loaded.clock, loaded.next_segment
+        entries: list[EntryColumns] = []
         torn = scanned = hinted = 0
-        for number in found.segments:
+        for number in loaded.segments:
             name = log_name(number)
             try:
                 file = self.files.open(name)
             except FileNotFoundError:
-                raise Damaged(name, 0, "the manifest names it, but it is not there") from None
+                raise CorruptionError(name, 0, "the manifest names it, but it is not there") from None
             segment = self.segments[number] = Segment(number, file, 0, 0)
-            size, sealed = file.size(), found.sealed.get(number)
+            size, sealed = file.size(), loaded.sealed.get(number)
             if sealed is not None and size < sealed:
-                raise Damaged(name, size, f"it ends here and not at {sealed}")
+                raise CorruptionError(name, size, f"it ends here and not at {sealed}")
             try:
-                segment.first = decode_segment_header(file.read(0, SEGMENT_HEADER), number)
+                segment.first_number = decode_segment_header(file.read(0, SEGMENT_HEADER), number)
             except FrameError as error:
-                raise Damaged(name, error.offset, error.what) from None
+                raise CorruptionError(name, error.offset, error.reason) from None
             hint = hints.load(self.files, number, sealed) if sealed is not None else None
             if hint is not None and sealed is not None:
-                columns = hints.Columns.of(*hint)
+                columns = hints.HintColumns.from_entries(*hint)
                 segment.end = sealed
                 hinted += 1
             else:
-                columns = hints.Columns()
+                columns = hints.HintColumns()
                 torn += self._scan(segment, columns, size if sealed is None else sealed, sealed is not None)
                 scanned += segment.end
-            lines.append(columns.lines())
-            segment.graves = columns.graves
-            if number == found.segments[-1]:
-                self._cut(segment)
-                self.deletes = columns.deletes()
-                self.hidden = self.deletes.keys()
-            self.number = max(self.number, segment.first)
-        self._fill(lines)
-        return Recovered(len(self.index), torn, scanned, hinted)
-
-    def _fill(self, lines: list[Lines]) -> None:
-        whole = Lines(*(np.concatenate(columns) for columns in zip(*lines, strict=True)))
-        if len(whole.number):
-            self.number = max(self.number, int(whole.number.max()) + 1)
-        self.index.fill(whole)
-
-    def _scan(self, segment: Segment, columns: hints.Columns, size: int, sealed: bool) -> int:
-        """Reads a segment; what is torn at the end of the last one is left out. Bytes left out."""
+            entries.append(columns.entries())
+            segment.tombstone_bytes = columns.tombstone_bytes
+            if number == loaded.segments[-1]:
+                self._truncate_tail(segment)
+                self.tombstones = columns.tombstones()
+                self.deleted_digests = self.tombstones.digests()
+            self.next_number = max(self.next_number, segment.first_number)
+        self._load_index(entries)
+        return RecoveryReport(len(self.index), torn, scanned, hinted)
+
+    def _load_index(self, entries: list[EntryColumns]) -> None:
+        combined = EntryColumns(*(np.concatenate(columns) for columns in zip(*entries, strict=True)))
+        if len(combined.number):
+            self.next_number = max(self.next_number, int(combined.number.max()) + 1)
+        self.index.bulk_load(combined)
+
+    def _scan(self, segment: Segment, columns: hints.HintColumns, size: int, sealed: bool) -> int:
+        """Reads a segment and returns the length of the torn write at the end of the last one."""
         segment.end = SEGMENT_HEADER
         try:
             for batch in read_batches(segment.file, SEGMENT_HEADER, size):
                 for placed in batch.records:
                     columns.add(segment.number, placed)
-                self.latest = max(self.latest, batch.time)
+                self.latest_ms = max(self.latest_ms, batch.time)
                 segment.end = batch.end
         except FrameError as error:
             rest = b"" if sealed else segment.file.read(error.offset, size - error.offset)
-            if sealed or next_batch(rest, 0) is not None:
-                raise Damaged(log_name(segment.number), error.offset, error.what) from None
+            if sealed or find_batch(rest, 0) is not None:
+                raise CorruptionError(log_name(segment.number), error.offset, error.reason) from None
             log.warning(
                 "%s: a torn write of %d bytes is cut off at offset %d",
                 log_name(segment.number),
@@ -261,82 +263,83 @@
             )
         return size - segment.end
 
-    def _cut(self, segment: Segment) -> None:
-        """Nothing lies behind the end of the segment that is written to: not a torn write, nor what was
-        taken back on a full disk and came again as its truncation was lost."""
+    def _truncate_tail(self, segment: Segment) -> None:
+        """Truncates the active segment to its end: removes a torn write, or a write that was undone on a full
+        disk and came back because its truncation was lost."""
         if segment.file.size() > segment.end:
             segment.file.truncate(segment.end)
             segment.file.sync()
 
-    def _tidy(self) -> None:
-        """Removes what a compaction that did not end has left."""
+    def _remove_orphans(self) -> None:
+        """Removes the files of unfinished compactions."""
         for name in self.files.names():
             number = manifest.segment_of(name)
             if number is not None and number not in self.segments:
                 self.files.remove(name)
 
-    def _create(self, number: int, first: int | None = None) -> Segment:
-        """A new segment, durable with its header."""
+    def _create_segment(self, number: int, first: int | None = None) -> Segment:
+        """Creates a segment and makes its header durable."""
         file = self.files.create(log_name(number))
         try:
-            head = encode_segment_header(number, self.number if first is None else first)
+            head = encode_segment_header(number, self.next_number if first is None else first)
             file.append(head)
             file.sync()
             self.files.sync_folder()
         except BaseException:
             file.close()
             raise
-        return Segment(number, file, self.number if first is None else first, len(head))
+        return Segment(number, file, self.next_number if first is None else first, len(head))
 
-    def _manifest(self, clean: bool = False) -> Manifest:
+    def _current_manifest(self, clean: bool = False) -> Manifest:
         names = tuple(self.segments)
         sealed = {n: s.end for n, s in self.segments.items() if clean or n != names[-1]}
-        return Manifest(names, sealed, self.next_segment, self.latest, clean)
+        return Manifest(names, sealed, self.next_segment, self.latest_ms, clean)
 
     # -- writing
     @property
     def active(self) -> Segment:
+        """The segment that is written to."""
         return next(reversed(self.segments.values()))
 
     def append(self, changes: Sequence[Change]) -> int:
-        """Makes changes durable, all in one sync; the number of the last one. Full, Broken; ValueError for
-        what no record can hold, before anything is written."""
-        if self.state is State.BROKEN or self.state is State.CLOSED:
-            raise Broken(f"the store is {self.state.value}")
-        numbered = self._numbered(changes)
+        """Makes changes durable with one sync and returns the number of the last one. Raises DiskFullError,
+        StoreFailedError, or ValueError if a key or value is too long, before anything is written."""
+        if self.state is StoreState.BROKEN or self.state is StoreState.CLOSED:
+            raise StoreFailedError(f"the store is {self.state.value}")
+        numbered = self._assign_numbers(changes)
         if not numbered:
-            return self.number - 1
+            return self.next_number - 1
         segment, time = self.active, self.now()
-        data, places = _encode([record for record, _, _ in numbered], time, segment.end)
+        data, locations = _encode([record for record, _, _ in numbered], time, segment.end)
         self._write(segment, data)
-        self.state = State.OPEN
-        self.number += len(numbered)
+        self.state = StoreState.OPEN
+        self.next_number += len(numbered)
         segment.end += len(data)
         self.written += len(data)
-        self._note(segment, numbered, places)
+        self._update_index(segment, numbered, locations)
         if segment.end >= self.options.segment_max:
-            self._roll()
-        return self.number - 1
-
-    def _numbered(self, changes: Sequence[Change]) -> list[tuple[Fields, int, int]]:
-        """The records for changes, and their keys' digests. None expires before what it hides: that would
-        come back, once the newer record is gone from the disk and an older one is not. A key that is not
-        there needs no delete."""
-        hides: dict[tuple[int, int], int | None] = {}  # when what is there now expires, as far as these go
-        records: list[tuple[Fields, int, int]] = []
-        number = self.number
+            self._rotate_segment()
+        return self.next_number - 1
+
+    def _assign_numbers(self, changes: Sequence[Change]) -> list[tuple[RecordFields, int, int]]:
+        """The records for changes, with their key digests. A record never expires before the one that it
+        hides, which would otherwise reappear once the newer one is removed from disk. A delete of a key that
+        does not exist is dropped."""
+        expiries: dict[tuple[int, int], int | None] = {}  # of keys changed so far; None: deleted
+        records: list[tuple[RecordFields, int, int]] = []
+        number = self.next_number
         for kind, key, value, expires in changes:
             check_sizes(key, value)
-            name = low, high = digest(key)
-            old = hides[name] if name in hides else self.index.expiry(low, high)
+            key_digest = low, high = digest(key)
+            old = expiries[key_digest] if key_digest in expiries else self.index.expiry(low, high)
             if kind is Kind.DELETE:
                 if old is None:
                     continue
-                expires, hides[name] = old, None
+                expires, expiries[key_digest] = old, None
             else:
                 if old is not None:
-                    expires = later(expires, old)
-                hides[name] = expires
+                    expires = later_expiry(expires, old)
+                expiries[key_digest] = expires
             records.append(((number, kind, key, value, expires), low, high))
             number += 1
         return records
@@ -345,80 +348,85 @@
         try:
             segment.file.append(data)
         except OSError as error:
-            self._undo(segment, error)
+            self._undo_write(segment, error)
         try:
             segment.file.sync()
         except OSError as error:
-            self._break(error)
+            self._fail(error)
 
-    def _undo(self, segment: Segment, error: OSError) -> NoReturn:
-        """A write that failed is taken back: nothing of it was synced."""
+    def _undo_write(self, segment: Segment, error: OSError) -> NoReturn:
+        """Undoes a failed write, none of which was synced."""
         try:
             segment.file.truncate(segment.end)
-        except OSError as second:
-            self._break(second)
-        if error.errno in FULL_ERRORS:
-            if self.state is not State.FULL:
+        except OSError as truncate_error:
+            self._fail(truncate_error)
+        if error.errno in DISK_FULL_ERRNOS:
+            if self.state is not StoreState.FULL:
                 log.error("the store's disk is full: %s", error)
-            self.state = State.FULL
-            raise Full(f"the store's disk is full: {error}") from error
-        self._break(error)
-
-    def _break(self, error: OSError) -> NoReturn:
-        self.state = State.BROKEN
-        log.critical("the store's disk failed, it takes nothing more until a restart: %s", error)
-        raise Broken(f"the store's disk failed: {error}") from error
-
-    def _note(
-        self, segment: Segment, records: Sequence[tuple[Fields, int, int]], places: Sequence[tuple[int, int]]
+            self.state = StoreState.FULL
+            raise DiskFullError(f"the store's disk is full: {error}") from error
+        self._fail(error)
+
+    def _fail(self, error: OSError) -> NoReturn:
+        self.state = StoreState.BROKEN
+        log.critical("the store's disk failed, writes are rejected until a restart: %s", error)
+        raise StoreFailedError(f"the store's disk failed: {error}") from error
+
+    def _update_index(
+        self,
+        segment: Segment,
+        records: Sequence[tuple[RecordFields, int, int]],
+        locations: Sequence[tuple[int, int]],
     ) -> None:
-        put, name = self.index.put_at, segment.number
-        for ((number, kind, _, _, expires), low, high), (offset, length) in zip(records, places, strict=True):
+        put, name = self.index.put_by_digest, segment.number
+        for ((number, kind, _, _, expires), low, high), (offset, length) in zip(
+            records, locations, strict=True
+        ):
             if kind is Kind.PUT:
                 put(low, high, number, name, offset, length, expires)
             else:
-                self.index.remove_at(low, high, number)
-                self.hidden.add((low, high))
-                self.deletes.add_delete(low, high, number, name, offset, length, expires)
-                segment.graves += length
+                self.index.remove_by_digest(low, high, number)
+                self.deleted_digests.add((low, high))
+                self.tombstones.add_tombstone(low, high, number, name, offset, length, expires)
+                segment.tombstone_bytes += length
 
-    def _roll(self) -> None:
-        """Seals the active segment and begins the next. Where the disk is full the old one is written on."""
+    def _rotate_segment(self) -> None:
+        """Seals the active segment and starts the next. If the disk is full, the old one stays active."""
         old, number = self.active, self.next_segment
-        self.next_segment = number + 1  # what a failure leaves under that name is never written to
+        self.next_segment = number + 1  # a number whose files a failure may have left is not used again
         try:
-            self.segments[number] = self._create(number)
-            manifest.draft(self.files, self._manifest())
+            self.segments[number] = self._create_segment(number)
+            manifest.draft(self.files, self._current_manifest())
         except OSError as error:
-            fresh = self.segments.pop(number, None)
-            if fresh is not None:
-                fresh.file.close()
-            if error.errno not in FULL_ERRORS:
-                self._break(error)
-            self.state = State.FULL
-            log.error("the store's disk is full, no new segment can be begun: %s", error)
+            created = self.segments.pop(number, None)
+            if created is not None:
+                created.file.close()
+            if error.errno not in DISK_FULL_ERRNOS:
+                self._fail(error)
+            self.state = StoreState.FULL
+            log.error("the store's disk is full, cannot start a new segment: %s", error)
             return
-        self._publish()
+        self._publish_manifest()
         for segment in self.segments.values():
-            segment.held = 0
+            segment.pinned_bytes = 0
         self._save_hint(old)
-        self.deletes, self.hidden = hints.Columns(), set()
+        self.tombstones, self.deleted_digests = hints.HintColumns(), set()
 
     def _save_hint(self, segment: Segment) -> None:
-        """Of the segment that was written to until now."""
-        lines = self.deletes.joined(self.index.lines_of(segment.number))
-        hints.save(self.files, segment.number, segment.end, lines)
+        """Saves the hint file of the segment that was active until now."""
+        entries = self.tombstones.appended_to(self.index.entries_of(segment.number))
+        hints.save(self.files, segment.number, segment.end, entries)
 
-    def _publish(self) -> None:
-        """A manifest that may hold after a crash or not: neither may be written beyond."""
+    def _publish_manifest(self) -> None:
+        """Publishes the draft manifest. After an error either manifest may be on disk, so the store fails."""
         try:
             manifest.publish(self.files)
         except OSError as error:
-            self._break(error)
+            self._fail(error)
 
     # -- reading
     def read(self, key: bytes) -> Record | None:
-        """The newest record of a key, if it has not expired. Damaged, OSError."""
+        """The newest record of a key, if it has not expired. Raises CorruptionError, OSError."""
         entry = self.index.get(key)
         if entry is None or expired(entry.expires, self.now()):
             return None
@@ -426,11 +434,11 @@
         try:
             record = decode_record(segment.file.read(entry.offset, entry.length), 0, entry.offset).record
         except FrameError as error:
-            raise Damaged(log_name(entry.segment), error.offset, error.what) from None
+            raise CorruptionError(log_name(entry.segment), error.offset, error.reason) from None
         return record if record.key == key else None
 
     def records(self) -> Iterator[Record]:
-        """All that is live, in no order. Damaged, OSError."""
+        """All live records, in no particular order. Raises CorruptionError, OSError."""
         for segment in list(self.segments.values()):
             try:
                 for batch in read_batches(segment.file, SEGMENT_HEADER, segment.end):
@@ -443,170 +451,185 @@
                         ):
                             yield placed.record
             except FrameError as error:
-                raise Damaged(log_name(segment.number), error.offset, error.what) from None
+                raise CorruptionError(log_name(segment.number), error.offset, error.reason) from None
 
-    # -- upkeep
+    # -- maintenance
     def step(self) -> bool:
-        """A slice of upkeep: forgets what has expired in one shard, and goes on with a compaction. Whether
-        there is more to do at once. Broken, Damaged."""
-        if self.state is State.BROKEN or self.state is State.CLOSED:
+        """One step of maintenance: removes expired entries of one index shard, and continues or starts a
+        compaction. Returns whether more work is due at once. Raises StoreFailedError, CorruptionError."""
+        if self.state is StoreState.BROKEN or self.state is StoreState.CLOSED:
             return False
-        if self.work is None:
+        if self.running_compaction is None:
             self.index.sweep(self.now())
-            chosen = plan(self._sealed(), self.options.segment_max)
+            chosen = select_segments(self._sealed_stats(), self.options.segment_max)
             if not chosen:
                 return False
-            self.work = self._compact(chosen)
+            self.running_compaction = self._merge_segments(chosen)
         try:
-            next(self.work)
+            next(self.running_compaction)
             return True
         except StopIteration:
-            self.work = None
+            self.running_compaction = None
             return True
         except OSError as error:
-            self.work = None
-            if error.errno in FULL_ERRORS:
-                log.warning("no room to compact: %s", error)
+            self.running_compaction = None
+            if error.errno in DISK_FULL_ERRNOS:
+                log.warning("not enough disk space to compact: %s", error)
                 return False
-            self._break(error)
+            self._fail(error)
 
     def compact(self) -> None:
-        """All that is worth it, at once."""
+        """Runs all worthwhile compactions to the end."""
         for _ in range(len(self.index.shards)):
             self.index.sweep(self.now())
         while self.step():
             pass
 
-    def _sealed(self) -> list[Extent]:
-        sealed = [s for s in list(self.segments.values())[:-1] if s.number not in self.unfit]
+    def _sealed_stats(self) -> list[SegmentStats]:
+        sealed = [s for s in list(self.segments.values())[:-1] if s.number not in self.corrupt_segments]
         return [
-            Extent(
-                s.number, s.end - SEGMENT_HEADER, self.index.live.get(s.number, 0), s.graves + s.held, s.first
+            SegmentStats(
+                s.number,
+                s.end - SEGMENT_HEADER,
+                self.index.live.get(s.number, 0),
+                s.tombstone_bytes + s.pinned_bytes,
+                s.first_number,
             )
             for s in sealed
         ]
 
-    def _compact(self, chosen: Sequence[int]) -> Generator[None, None, None]:
-        """Merges segments into a new one. The manifest makes it count; until then nothing has happened."""
+    def _merge_segments(self, chosen: Sequence[int]) -> Generator[None, None, None]:
+        """Merges segments into a new one, which takes effect when the manifest is published."""
         inputs = [self.segments[n] for n in chosen]
         number, self.next_segment = self.next_segment, self.next_segment + 1
-        out = self._create(number, min(s.first for s in inputs))
-        columns = hints.Columns()
+        output = self._create_segment(number, min(s.first_number for s in inputs))
+        columns = hints.HintColumns()
         try:
-            yield from self._copy(inputs, out, columns)
-            if out.end > SEGMENT_HEADER:
-                out.file.sync()
+            yield from self._copy_records(inputs, output, columns)
+            if output.end > SEGMENT_HEADER:
+                output.file.sync()
                 yield
-                hints.save(self.files, number, out.end, columns)
-            self._switch(inputs, out)
+                hints.save(self.files, number, output.end, columns)
+            self._install_merged(inputs, output)
         except BaseException as error:
             if number not in self.segments:
-                out.file.close()
-                if not isinstance(error, Broken | GeneratorExit):  # else the next start removes it
-                    self._remove(number)
+                output.file.close()
+                if not isinstance(error, StoreFailedError | GeneratorExit):  # else removed at next start
+                    self._remove_segment_files(number)
             if isinstance(error, FrameError):
                 return
             raise
-        out.graves = columns.graves
-        yield from self._move(columns)
-        out.held = out.end - SEGMENT_HEADER - self.index.live.get(number, 0) - out.graves
-        for segment in [*inputs, *([] if number in self.segments else [out])]:
+        output.tombstone_bytes = columns.tombstone_bytes
+        yield from self._update_locations(columns)
+        output.pinned_bytes = (
+            output.end - SEGMENT_HEADER - self.index.live.get(number, 0) - output.tombstone_bytes
+        )
+        for segment in [*inputs, *([] if number in self.segments else [output])]:
             self.retired.pop(segment.number, None)
             self.index.live.pop(segment.number, None)
             segment.file.close()
-            self._remove(segment.number)
+            self._remove_segment_files(segment.number)
         self.compactions += 1
 
-    def _remove(self, number: int) -> None:
+    def _remove_segment_files(self, number: int) -> None:
         for name in (log_name(number), manifest.hint_name(number)):
-            discard(self.files, name)
+            remove_if_exists(self.files, name)
 
-    def _copy(self, inputs: Sequence[Segment], out: Segment, columns: hints.Columns) -> Iterator[None]:
-        kept: list[Record] = []
+    def _copy_records(
+        self, inputs: Sequence[Segment], output: Segment, columns: hints.HintColumns
+    ) -> Iterator[None]:
+        copies: list[Record] = []
         size = 0
         for segment in inputs:
             try:
                 for batch in read_batches(segment.file, SEGMENT_HEADER, segment.end):
-                    now, others, active = self.now(), self._others_first(inputs), self.active.number
+                    now, oldest_other, active = (
+                        self.now(),
+                        self._oldest_other_number(inputs),
+                        self.active.number,
+                    )
                     for placed in batch.records:
                         entry = self.index.get(placed.record.key)
                         newest = entry.number if entry is not None else None
-                        unsettled = (
+                        newest_may_be_lost = (
                             entry.segment == active
                             if entry is not None
-                            else digest(placed.record.key) in self.hidden
+                            else digest(placed.record.key) in self.deleted_digests
                         )
-                        if outlives(placed.record, newest, unsettled, now, others):
-                            kept.append(placed.record)
+                        if must_copy(placed.record, newest, newest_may_be_lost, now, oldest_other):
+                            copies.append(placed.record)
                             size += placed.length
-                    if size >= COPY_BYTES:
-                        self._append_copies(kept, out, columns)
-                        kept, size = [], 0
+                    if size >= COPY_STEP_BYTES:
+                        self._append_copies(copies, output, columns)
+                        copies, size = [], 0
                         yield
             except FrameError as error:
-                self.unfit.add(segment.number)
+                self.corrupt_segments.add(segment.number)
                 log.critical(
-                    "%s, offset %d: %s; it is not merged, and its other records are read as before",
+                    "%s, offset %d: %s; the segment is not compacted, its other records remain readable",
                     log_name(segment.number),
                     error.offset,
-                    error.what,
+                    error.reason,
                 )
                 raise
-        if kept:
-            self._append_copies(kept, out, columns)
+        if copies:
+            self._append_copies(copies, output, columns)
 
-    def _others_first(self, inputs: Sequence[Segment]) -> int | None:
+    def _oldest_other_number(self, inputs: Sequence[Segment]) -> int | None:
         merged = {s.number for s in inputs}
-        return min((s.first for n, s in self.segments.items() if n not in merged), default=None)
+        return min((s.first_number for n, s in self.segments.items() if n not in merged), default=None)
 
-    def _append_copies(self, records: Sequence[Record], out: Segment, columns: hints.Columns) -> None:
+    def _append_copies(self, records: Sequence[Record], output: Segment, columns: hints.HintColumns) -> None:
         fields = [(r.number, r.kind, r.key, r.value, r.expires) for r in records]
-        data, places = _encode(fields, self.latest, out.end)
-        out.file.append(data)
-        for record, (offset, length) in zip(records, places, strict=True):
-            columns.add(out.number, Placed(record, offset, length))
-        out.end += len(data)
+        data, locations = _encode(fields, self.latest_ms, output.end)
+        output.file.append(data)
+        for record, (offset, length) in zip(records, locations, strict=True):
+            columns.add(output.number, LocatedRecord(record, offset, length))
+        output.end += len(data)
         self.copied += len(data)
 
-    def _switch(self, inputs: Sequence[Segment], out: Segment) -> None:
-        """The new segment stands where the first of the merged ones stood, from the next manifest on; one in
-        which nothing is kept does not stand anywhere."""
+    def _install_merged(self, inputs: Sequence[Segment], output: Segment) -> None:
+        """Puts the new segment in the place of the first merged one and publishes the manifest. An empty new
+        segment is left out."""
         merged = {s.number for s in inputs}
         before, after = self.segments, {}
         for name, segment in before.items():
-            if name == inputs[0].number and out.end > SEGMENT_HEADER:
-                after[out.number] = out
+            if name == inputs[0].number and output.end > SEGMENT_HEADER:
+                after[output.number] = output
             if name not in merged:
                 after[name] = segment
         self.segments = after
         try:
-            manifest.draft(self.files, self._manifest())
+            manifest.draft(self.files, self._current_manifest())
         except OSError:
             self.segments = before
             raise
         self.retired = {s.number: s for s in inputs}
-        self._publish()
+        self._publish_manifest()
 
-    def _move(self, columns: hints.Columns) -> Iterator[None]:
-        for i in range(0, len(columns.words[0]), MOVES):
-            self.index.move_lines(Lines(*(column[i : i + MOVES] for column in columns.lines())))
+    def _update_locations(self, columns: hints.HintColumns) -> Iterator[None]:
+        for i in range(0, len(columns.arrays[0]), INDEX_STEP_ENTRIES):
+            self.index.update_locations(
+                EntryColumns(*(column[i : i + INDEX_STEP_ENTRIES] for column in columns.entries()))
+            )
             yield
 
-    # -- end
+    # -- shutdown
     def close(self) -> None:
-        """Ends in order: the next start takes nothing for a torn write."""
-        if self.state is State.CLOSED:
+        """Shuts down cleanly: the next start treats an incomplete batch as corruption, not as a torn
+        write."""
+        if self.state is StoreState.CLOSED:
             return
-        if self.work is not None:
-            self.work.close()
-            self.work = None
+        if self.running_compaction is not None:
+            self.running_compaction.close()
+            self.running_compaction = None
         try:
-            if self.state in (State.OPEN, State.FULL):
+            if self.state in (StoreState.OPEN, StoreState.FULL):
                 self.now()
                 self._save_hint(self.active)
-                manifest.replace(self.files, self._manifest(clean=True))
+                manifest.replace(self.files, self._current_manifest(clean=True))
         finally:
-            self.state = State.CLOSED
+            self.state = StoreState.CLOSED
             self._close_files()
             self.files.unlock()
 
@@ -616,20 +639,21 @@
         self.segments, self.retired = {}, {}
 
 
-def _encode(records: Sequence[Fields], time: int, at: int) -> tuple[bytes, list[tuple[int, int]]]:
-    """Batches of no more than is allowed, and where each record lies, if they are written at an offset."""
+def _encode(records: Sequence[RecordFields], time: int, at: int) -> tuple[bytes, list[tuple[int, int]]]:
+    """Encodes records as batches of at most BATCH_MAX bytes. Returns the bytes, and the offset and length of
+    each record when they are written at offset `at`."""
     batches: list[bytes] = []
-    places: list[tuple[int, int]] = []
+    locations: list[tuple[int, int]] = []
     pieces: list[bytes] = []
     size = 0
     for record in records:
         piece = encode_fields(*record)
         if size + len(piece) > BATCH_MAX:
-            batches.append(join_batch(pieces, records[len(places) - len(pieces)][0], time))
+            batches.append(join_batch(pieces, records[len(locations) - len(pieces)][0], time))
             at += len(batches[-1])
             pieces, size = [], 0
-        places.append((at + BATCH_HEADER + size, len(piece)))
+        locations.append((at + BATCH_HEADER + size, len(piece)))
         pieces.append(piece)
         size += len(piece)
-    batches.append(join_batch(pieces, records[len(places) - len(pieces)][0], time))
-    return b"".join(batches), places
+    batches.append(join_batch(pieces, records[len(locations) - len(pieces)][0], time))
+    return b"".join(batches), locations
--- a/notchflow/store/files.py
+++ b/notchflow/store/files.py
@@ -1,7 +1,7 @@
-"""The few operations on files that the store needs, and their form on a real folder.
+"""The file operations that the store needs, and their implementation on a real directory.
 
-What a crash leaves of each (POSIX): bytes that were not synced may be there in any part; a file that was
-created, renamed or removed may be found as it was before until its folder is synced.
+Crash semantics (POSIX): of bytes that were not synced, any part may be on disk; that a file was created,
+renamed or removed is durable only once its directory is synced.
 """
 
 from __future__ import annotations
@@ -14,53 +14,69 @@
 
 
 class Locked(Exception):
-    """Another process has the folder."""
+    """Another process has the directory open."""
 
 
 class File(Protocol):
     """An open file."""
 
     def append(self, data: bytes) -> None:
-        """Writes at the end; OSError, after which the end may be anywhere between."""
+        """Writes at the end of the file. After an OSError any part of the data may have been written."""
 
     def read(self, offset: int, size: int) -> bytes:
-        """Up to so many bytes; fewer at the end alone."""
+        """Reads `size` bytes, fewer only at the end of the file."""
 
-    def size(self) -> int: ...
+    def size(self) -> int:
+        """The length in bytes."""
+        ...
 
-    def truncate(self, size: int) -> None: ...
+    def truncate(self, size: int) -> None:
+        """Cuts the file to `size` bytes."""
+        ...
 
     def sync(self) -> None:
-        """What was written is durable; OSError: nothing is known of what is."""
+        """Makes everything written durable. After an OSError it is unknown what is durable."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the file."""
+        ...
 
 
 class Files(Protocol):
-    """One folder."""
+    """One directory."""
 
-    def names(self) -> list[str]: ...
+    def names(self) -> list[str]:
+        """The names of its files, without the lock file."""
+        ...
 
     def create(self, name: str) -> File:
-        """A new, empty file; FileExistsError."""
+        """Creates an empty file. Raises FileExistsError."""
 
     def open(self, name: str) -> File:
-        """An existing file; FileNotFoundError."""
+        """Opens an existing file. Raises FileNotFoundError."""
 
-    def rename(self, old: str, new: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Renames a file and replaces `new` if it exists."""
+        ...
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Removes a file."""
+        ...
 
-    def sync_folder(self) -> None: ...
+    def sync_folder(self) -> None:
+        """Makes created, renamed and removed names durable."""
+        ...
 
     def lock(self) -> None:
-        """Holds the folder for this process until it ends or `unlock`; Locked."""
+        """Locks the directory until `unlock` or the end of the process. Raises Locked."""
 
-    def unlock(self) -> None: ...
+    def unlock(self) -> None:
+        """Releases the lock."""
+        ...
 
 
-def whole(files: Files, name: str) -> bytes:
-    """All of a file; FileNotFoundError."""
+def read_file(files: Files, name: str) -> bytes:
+    """Reads a whole file. Raises FileNotFoundError."""
     file = files.open(name)
     try:
         return file.read(0, file.size())
@@ -68,8 +84,8 @@
         file.close()
 
 
-def size_of(files: Files, name: str) -> int:
-    """Bytes of a file; FileNotFoundError."""
+def file_size(files: Files, name: str) -> int:
+    """The length of a file in bytes. Raises FileNotFoundError."""
     file = files.open(name)
     try:
         return file.size()
@@ -77,15 +93,15 @@
         file.close()
 
 
-def discard(files: Files, name: str) -> None:
-    """Removes a file where there is one."""
+def remove_if_exists(files: Files, name: str) -> None:
+    """Removes a file if it exists."""
     if name in files.names():
         files.remove(name)
 
 
-def write_anew(files: Files, name: str, data: bytes, sync: bool) -> None:
-    """A file of these bytes instead of whatever has the name."""
-    discard(files, name)
+def write_file(files: Files, name: str, data: bytes, sync: bool) -> None:
+    """Creates a file with these bytes, replacing any file of the same name."""
+    remove_if_exists(files, name)
     file = files.create(name)
     try:
         file.append(data)
@@ -96,17 +112,19 @@
 
 
 class RealFile:
-    """A file by its descriptor."""
+    """A file, accessed through its descriptor."""
 
     def __init__(self, path: Path, flags: int) -> None:
         self.descriptor = os.open(path, flags | os.O_RDWR | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def append(self, data: bytes) -> None:
+        """Writes at the end of the file."""
         view = memoryview(data)
         while view:
             view = view[os.write(self.descriptor, view) :]
 
     def read(self, offset: int, size: int) -> bytes:
+        """Reads `size` bytes, fewer only at the end of the file."""
         pieces = []
         while size > 0:
             piece = os.pread(self.descriptor, size, offset)
@@ -117,20 +135,24 @@
         return b"".join(pieces)
 
     def size(self) -> int:
+        """The length in bytes."""
         return os.fstat(self.descriptor).st_size
 
     def truncate(self, size: int) -> None:
+        """Cuts the file to `size` bytes."""
         os.ftruncate(self.descriptor, size)
 
     def sync(self) -> None:
+        """Makes everything written durable (fdatasync)."""
         os.fdatasync(self.descriptor)
 
     def close(self) -> None:
+        """Closes the descriptor."""
         os.close(self.descriptor)
 
 
 class RealFiles:
-    """A real folder, which is made where there is none."""
+    """A real directory, which is created if it does not exist."""
 
     LOCK = "lock"
 
@@ -140,21 +162,27 @@
         self.lock_file: int | None = None
 
     def names(self) -> list[str]:
+        """The names of its files, without the lock file."""
         return sorted(name for name in os.listdir(self.folder) if name != self.LOCK)
 
     def create(self, name: str) -> File:
+        """Creates an empty file. Raises FileExistsError."""
         return RealFile(self.folder / name, os.O_CREAT | os.O_EXCL)
 
     def open(self, name: str) -> File:
+        """Opens an existing file. Raises FileNotFoundError."""
         return RealFile(self.folder / name, 0)
 
     def rename(self, old: str, new: str) -> None:
+        """Renames a file and replaces `new` if it exists."""
         os.replace(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
+        """Removes a file."""
         os.unlink(self.folder / name)
 
     def sync_folder(self) -> None:
+        """Makes created, renamed and removed names durable."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -162,6 +190,7 @@
             os.close(descriptor)
 
     def lock(self) -> None:
+        """Locks the directory until `unlock` or the end of the process. Raises Locked."""
         descriptor = os.open(self.folder / self.LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -173,6 +202,7 @@
         self.lock_file = descriptor
 
     def unlock(self) -> None:
+        """Releases the lock."""
         if self.lock_file is not None:
             os.close(self.lock_file)
             self.lock_file = None
--- a/notchflow/store/frames.py
+++ b/notchflow/store/frames.py
@@ -1,11 +1,12 @@
-"""How records lie in a segment: batches, each written and synced as one, with a checksum over all of it.
+"""The on-disk format of segments: a header followed by batches of records.
 
-A segment begins with a header; after it comes one batch after the other. A batch is only begun once the one
-before it is durable, so that at most the last batch of the last segment can be torn by a crash: a bad batch
-with a good one behind it is damage and not a torn write. Every record has a checksum of its own as well, as
-single records are read later. All numbers are little-endian. Checksums are CRC32C (RFC 3720, appendix B.4).
+Each batch is written and synced as one unit, with a checksum over all of it. A batch is written only once
+the batch before it is durable, so a crash can tear at most the last batch of the last segment: a bad batch
+that is followed by a good one is corruption, not a torn write. Each record also has its own checksum, since
+records are read individually later. All numbers are little-endian. Checksums are CRC32C (RFC 3720, appendix
+B.4).
 
-Pure: bytes in, values out. Sizes and offsets are bytes, times are milliseconds of the store's clock.
+This module does no I/O. Sizes and offsets are in bytes, times in milliseconds of the store's clock.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 KEY_MAX: Final = 1024
 VALUE_MAX: Final = 1 << 20
-BATCH_MAX: Final = 4 << 20  # payload of one batch: what a reader must hold at once
+BATCH_MAX: Final = 4 << 20  # payload bytes of one batch, which a reader holds in memory
 VERSION: Final = 1
 
 _SEGMENT: Final = struct.Struct("<4sHHQQ")  # magic, version, unused, segment, first number
@@ -36,24 +37,24 @@
 
 
 class Kind(IntEnum):
-    """What a record says of its key."""
+    """The kind of a record: a value or a tombstone."""
 
     PUT = 1
     DELETE = 2
 
 
 class FrameError(Exception):
-    """Bytes that are no frame: where in the segment, and what is wrong with them."""
+    """Invalid bytes in a segment: their offset and what is wrong with them."""
 
-    def __init__(self, offset: int, what: str) -> None:
-        super().__init__(f"offset {offset}: {what}")
-        self.offset, self.what = offset, what
+    def __init__(self, offset: int, reason: str) -> None:
+        super().__init__(f"offset {offset}: {reason}")
+        self.offset, self.reason = offset, reason
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One change. `expires`: when nobody needs it any more, 0 for never; a delete expires with what it
-    deletes."""
+    """One change. `expires` is when the record may be dropped, 0 for never; a tombstone expires with the
+    record that it deletes."""
 
     number: int
     kind: Kind
@@ -66,26 +67,26 @@
 
 
 def check_sizes(key: bytes, value: bytes) -> None:
-    """ValueError for what no record can hold."""
+    """Raises ValueError if the key or the value is too long, or the key empty."""
     if not 0 < len(key) <= KEY_MAX:
-        raise ValueError(f"a key of {len(key)} bytes; 1 to {KEY_MAX} can be held")
+        raise ValueError(f"a key of {len(key)} bytes; 1 to {KEY_MAX} are allowed")
     if len(value) > VALUE_MAX:
-        raise ValueError(f"a value of {len(value)} bytes; at most {VALUE_MAX} can be held")
+        raise ValueError(f"a value of {len(value)} bytes; at most {VALUE_MAX} are allowed")
 
 
 def expired(expires: int, now: int) -> bool:
-    """Whether nobody needs it any more; an expiry of 0 is never."""
+    """Whether an expiry has passed; an expiry of 0 never does."""
     return 0 < expires <= now
 
 
-def later(one: int, other: int) -> int:
-    """The later of two expiries."""
+def later_expiry(one: int, other: int) -> int:
+    """The later of two expiries; 0 is never."""
     return 0 if one == 0 or other == 0 else max(one, other)
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """A record and where it lies in its segment."""
+class LocatedRecord:
+    """A record and its position in its segment."""
 
     record: Record
     offset: int
@@ -94,54 +95,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """A whole batch: where it begins, where the next one would."""
+    """A complete batch: where it begins, and where the next one would begin."""
 
     offset: int
     end: int
     time: int
-    records: tuple[Placed, ...]
+    records: tuple[LocatedRecord, ...]
 
 
 def crc(data: bytes) -> int:
+    """CRC32C."""
     return int(google_crc32c.value(data))
 
 
 def encode_fields(number: int, kind: int, key: bytes, value: bytes, expires: int) -> bytes:
-    """A record's bytes from its parts, which hold."""
+    """Encodes a record from its fields, which must be valid."""
     body = _RECORD.pack(number, expires, kind, len(key), len(value)) + key + value
     return _CRC.pack(google_crc32c.value(body)) + body
 
 
 def encode_record(record: Record) -> bytes:
+    """Encodes a record."""
     return encode_fields(record.number, record.kind, record.key, record.value, record.expires)
 
 
-def decode_record(data: bytes, start: int = 0, at: int = 0, limit: int | None = None) -> Placed:
-    """The record that begins at `start` of the bytes, which is `at` in the segment, and ends by `limit`.
-    FrameError."""
+def decode_record(data: bytes, start: int = 0, at: int = 0, limit: int | None = None) -> LocatedRecord:
+    """Decodes the record that begins at `start` of `data` and ends by `limit`; `at` is its offset in the
+    segment. Raises FrameError."""
     limit = len(data) if limit is None else limit
     if limit - start < RECORD_HEADER:
         raise FrameError(at, "a record's header is cut off")
-    (told,) = _CRC.unpack_from(data, start)
+    (stored_crc,) = _CRC.unpack_from(data, start)
     number, expires, kind, key_size, value_size = _RECORD.unpack_from(data, start + _CRC.size)
     end = start + RECORD_HEADER + key_size + value_size
     if not 0 < key_size <= KEY_MAX or value_size > VALUE_MAX or end > limit:
         raise FrameError(at, f"a record of {key_size} and {value_size} bytes cannot be here")
-    if crc(data[start + _CRC.size : end]) != told:
+    if crc(data[start + _CRC.size : end]) != stored_crc:
         raise FrameError(at, "a record's checksum differs")
     if kind not in (Kind.PUT, Kind.DELETE):
         raise FrameError(at, f"a record of kind {kind}")
     key_at, value_at = start + RECORD_HEADER, start + RECORD_HEADER + key_size
     record = Record(number, Kind(kind), data[key_at:value_at], data[value_at:end], expires)
-    return Placed(record, at, end - start)
+    return LocatedRecord(record, at, end - start)
 
 
 def record_length(key: int, value: int) -> int:
+    """The encoded length of a record with a key and a value of these lengths."""
     return RECORD_HEADER + key + value
 
 
 def encode_batch(records: Sequence[Record], time: int) -> tuple[bytes, tuple[int, ...]]:
-    """A batch's bytes, and where in it each record begins. `time`: of the store's clock."""
+    """Encodes a batch and returns it with the offset of each record in it. `time` is on the store's
+    clock."""
     if not records:
         raise ValueError("a batch holds at least one record")
     pieces = [encode_record(record) for record in records]
@@ -150,7 +155,7 @@
 
 
 def join_batch(pieces: Sequence[bytes], first: int, time: int) -> bytes:
-    """A batch of encoded records; the first of them has this number."""
+    """Encodes a batch of already encoded records; `first` is the number of the first one."""
     payload = b"".join(pieces)
     if len(payload) > BATCH_MAX:
         raise ValueError(f"a batch holds at most {BATCH_MAX} bytes, not {len(payload)}")
@@ -159,7 +164,7 @@
 
 
 def batch_length(head: bytes, at: int) -> int:
-    """How long the batch is that has this header, header included. FrameError where it is none."""
+    """The length of the batch that has this header, header included. Raises FrameError."""
     if len(head) < BATCH_HEADER:
         raise FrameError(at, "a batch's header is cut off")
     magic, length, _, _, _ = _BATCH.unpack_from(head, _CRC.size)
@@ -169,48 +174,51 @@
 
 
 def decode_batch(data: bytes, start: int, at: int) -> Batch:
-    """The batch that begins at `start` of the bytes, which is `at` in the segment. FrameError."""
+    """Decodes the batch that begins at `start` of `data`; `at` is its offset in the segment. Raises
+    FrameError."""
     size = batch_length(data[start : start + BATCH_HEADER], at)
-    (told,) = _CRC.unpack_from(data, start)
+    (stored_crc,) = _CRC.unpack_from(data, start)
     _, _, first, count, time = _BATCH.unpack_from(data, start + _CRC.size)
     end = start + size
     if end > len(data):
         raise FrameError(at, f"a batch of {size} bytes is cut off")
-    if crc(data[start + _CRC.size : end]) != told:
+    if crc(data[start + _CRC.size : end]) != stored_crc:
         raise FrameError(at, "a batch's checksum differs")
-    records, place = [], start + BATCH_HEADER
-    while place < end:
-        placed = decode_record(data, place, at + place - start, end)
+    records, position = [], start + BATCH_HEADER
+    while position < end:
+        placed = decode_record(data, position, at + position - start, end)
         records.append(placed)
-        place += placed.length
+        position += placed.length
     if len(records) != count or not records or records[0].record.number != first:
         raise FrameError(at, f"a batch of {len(records)} records says {count}")
     return Batch(at, at + end - start, time, tuple(records))
 
 
 def encode_segment_header(segment: int, first: int) -> bytes:
+    """Encodes the header of a segment; `first` is the lowest record number that it may hold."""
     head = _SEGMENT.pack(SEGMENT_MAGIC, VERSION, 0, segment, first)
     return head + _CRC.pack(crc(head))
 
 
 def decode_segment_header(data: bytes, segment: int) -> int:
-    """The first number that the segment was begun for. FrameError, also where it is another segment's."""
+    """The lowest record number that the segment may hold. Raises FrameError, also if the header belongs to
+    a different segment."""
     if len(data) < SEGMENT_HEADER:
         raise FrameError(0, "the segment's header is cut off")
-    magic, version, _, told, first = _SEGMENT.unpack_from(data)
+    magic, version, _, stored_segment, first = _SEGMENT.unpack_from(data)
     if magic != SEGMENT_MAGIC:
         raise FrameError(0, "this is no segment")
     if crc(data[: _SEGMENT.size]) != _CRC.unpack_from(data, _SEGMENT.size)[0]:
         raise FrameError(0, "the header's checksum differs")
     if version != VERSION:
         raise FrameError(0, f"version {version}; this program reads version {VERSION}")
-    if told != segment:
-        raise FrameError(0, f"this is segment {told}, by its name {segment}")
+    if stored_segment != segment:
+        raise FrameError(0, f"this is segment {stored_segment}, by its name {segment}")
     return int(first)
 
 
-def next_batch(data: bytes, start: int) -> Batch | None:
-    """The first whole batch that begins at or after an offset: what a bad place hides behind it."""
+def find_batch(data: bytes, start: int) -> Batch | None:
+    """The first valid batch that begins at or after `start`: resynchronizes after corruption."""
     while True:
         found = data.find(BATCH_MAGIC, start + _CRC.size)
         if found < 0:
--- a/notchflow/store/hints.py
+++ b/notchflow/store/hints.py
@@ -1,6 +1,6 @@
-"""Hint files: where the records of a sealed segment lie, so that a start need not read the segment.
+"""Hint files: the index entries of a sealed segment, so that recovery need not read the segment.
 
-Only a help: one that is missing, short or spoilt is left aside, and the segment is read instead.
+They are an optimization only: if a hint file is missing, short or corrupt, the segment is read instead.
 """
 
 from __future__ import annotations
@@ -12,115 +12,124 @@
 
 import numpy as np
 
-from notchflow.store.files import Files, whole, write_anew
-from notchflow.store.frames import Kind, Placed, crc
-from notchflow.store.index import LENGTH, Lines, digest, pack
+from notchflow.store.files import Files, read_file, write_file
+from notchflow.store.frames import Kind, LocatedRecord, crc
+from notchflow.store.index import LENGTH_MASK, EntryColumns, digest, pack
 from notchflow.store.manifest import hint_name
 
 MAGIC: Final = b"NFH1"
-_HEAD: Final = struct.Struct("<4sIQQQQ")  # magic, checksum, segment, its length, lines, bytes of deletes
-COLUMNS: Final = 5
+_HEAD: Final = struct.Struct("<4sIQQQQ")  # magic, checksum, segment, its length, rows, tombstone bytes
+COLUMN_COUNT: Final = 5
 
 
-class Columns:
-    """The lines of one segment, as they come."""
+class HintColumns:
+    """The rows of one segment's hint file, as one array per column."""
 
     def __init__(self) -> None:
-        self.words = tuple(array("Q") for _ in range(COLUMNS))
-        self.graves = 0  # bytes of deletes
+        self.arrays = tuple(array("Q") for _ in range(COLUMN_COUNT))
+        self.tombstone_bytes = 0
 
-    def add(self, segment: int, placed: Placed) -> None:
-        """A delete's line has the length 0: it hides what is older, and is no entry itself."""
+    def add(self, segment: int, placed: LocatedRecord) -> None:
+        """Adds a record. A tombstone is added with length 0: it hides older records and is not an index
+        entry itself."""
         record = placed.record
         low, high = digest(record.key)
         if record.kind is Kind.DELETE:
-            self.add_delete(low, high, record.number, segment, placed.offset, placed.length, record.expires)
+            self.add_tombstone(
+                low, high, record.number, segment, placed.offset, placed.length, record.expires
+            )
         else:
-            place, meta = pack(segment, placed.offset, placed.length, record.expires)
-            self.extend((low, high, record.number, place, meta))
+            location, meta = pack(segment, placed.offset, placed.length, record.expires)
+            self.extend((low, high, record.number, location, meta))
 
     @classmethod
-    def of(cls, lines: Lines, graves: int) -> Columns:
-        """Columns that go on from these lines."""
+    def from_entries(cls, entries: EntryColumns, tombstone_bytes: int) -> HintColumns:
+        """Rows that begin with these entries."""
         columns = cls()
-        for column, words in zip(columns.words, lines, strict=True):
+        for column, words in zip(columns.arrays, entries, strict=True):
             column.frombytes(words.tobytes())
-        columns.graves = graves
+        columns.tombstone_bytes = tombstone_bytes
         return columns
 
-    def deletes(self) -> Columns:
-        """The lines of deletes alone."""
-        found = Columns()
-        for line in zip(*self.words, strict=True):
-            if not line[4] & LENGTH:
-                found.extend(line)
-        found.graves = self.graves
-        return found
-
-    def extend(self, line: tuple[int, ...]) -> None:
-        for column, word in zip(self.words, line, strict=True):
+    def tombstones(self) -> HintColumns:
+        """The tombstones only."""
+        result = HintColumns()
+        for row in zip(*self.arrays, strict=True):
+            if not row[4] & LENGTH_MASK:
+                result.extend(row)
+        result.tombstone_bytes = self.tombstone_bytes
+        return result
+
+    def extend(self, row: tuple[int, ...]) -> None:
+        """Appends one row."""
+        for column, word in zip(self.arrays, row, strict=True):
             column.append(word)
 
-    def add_delete(
+    def add_tombstone(
         self, low: int, high: int, number: int, segment: int, offset: int, length: int, expires: int
     ) -> None:
-        """A delete, by its key's digest."""
-        place, meta = pack(segment, offset, length, expires)
-        self.extend((low, high, number, place, meta - length))
-        self.graves += length
-
-    def keys(self) -> set[tuple[int, int]]:
-        """The keys of all lines, as digests."""
-        return set(zip(self.words[0], self.words[1], strict=True))
-
-    def joined(self, lines: Lines) -> Columns:
-        """These lines, and others."""
-        found = Columns.of(lines, self.graves)
-        for column, words in zip(found.words, self.words, strict=True):
+        """Adds a tombstone by key digest."""
+        location, meta = pack(segment, offset, length, expires)
+        self.extend((low, high, number, location, meta - length))
+        self.tombstone_bytes += length
+
+    def digests(self) -> set[tuple[int, int]]:
+        """The key digests of all rows."""
+        return set(zip(self.arrays[0], self.arrays[1], strict=True))
+
+    def appended_to(self, entries: EntryColumns) -> HintColumns:
+        """`entries` followed by these rows."""
+        result = HintColumns.from_entries(entries, self.tombstone_bytes)
+        for column, words in zip(result.arrays, self.arrays, strict=True):
             column.extend(words)
-        return found
+        return result
 
-    def lines(self) -> Lines:
-        return Lines(
+    def entries(self) -> EntryColumns:
+        """All rows."""
+        return EntryColumns(
             *(
                 np.frombuffer(column, dtype=np.uint64) if column else np.zeros(0, dtype=np.uint64)
-                for column in self.words
+                for column in self.arrays
             )
         )
 
 
-def encode(segment: int, length: int, columns: Columns) -> bytes:
-    body = b"".join(column.tobytes() for column in columns.words)
-    rest = struct.pack("<QQQQ", segment, length, len(columns.words[0]), columns.graves) + body
+def encode(segment: int, length: int, columns: HintColumns) -> bytes:
+    """Encodes the hint file of a segment of this length."""
+    body = b"".join(column.tobytes() for column in columns.arrays)
+    rest = struct.pack("<QQQQ", segment, length, len(columns.arrays[0]), columns.tombstone_bytes) + body
     return MAGIC + struct.pack("<I", crc(rest)) + rest
 
 
-def decode(data: bytes, segment: int, length: int) -> tuple[Lines, int] | None:
-    """The lines and the bytes of deletes; None where this is not the hint of that segment at that length."""
+def decode(data: bytes, segment: int, length: int) -> tuple[EntryColumns, int] | None:
+    """The entries and the number of tombstone bytes; None if this is not the hint file of that segment at
+    that length."""
     if len(data) < _HEAD.size:
         return None
-    magic, told, of, size, count, graves = _HEAD.unpack_from(data)
+    magic, stored_crc, stored_segment, stored_length, count, tombstone_bytes = _HEAD.unpack_from(data)
     if (
         magic != MAGIC
-        or of != segment
-        or size != length
-        or len(data) != _HEAD.size + 8 * COLUMNS * count
-        or crc(data[8:]) != told
+        or stored_segment != segment
+        or stored_length != length
+        or len(data) != _HEAD.size + 8 * COLUMN_COUNT * count
+        or crc(data[8:]) != stored_crc
     ):
         return None
-    words = np.frombuffer(data, dtype=np.uint64, offset=_HEAD.size).reshape(COLUMNS, count)
-    return Lines(*words), int(graves)
+    words = np.frombuffer(data, dtype=np.uint64, offset=_HEAD.size).reshape(COLUMN_COUNT, count)
+    return EntryColumns(*words), int(tombstone_bytes)
 
 
-def load(files: Files, segment: int, length: int) -> tuple[Lines, int] | None:
+def load(files: Files, segment: int, length: int) -> tuple[EntryColumns, int] | None:
+    """Loads the hint file of a segment; None if there is no valid one."""
     try:
-        data = whole(files, hint_name(segment))
+        data = read_file(files, hint_name(segment))
     except FileNotFoundError:
         return None
     return decode(data, segment, length)
 
 
-def save(files: Files, segment: int, length: int, columns: Columns) -> None:
-    """Leaves a whole hint or none that is taken for one; a disk that is full costs a slower start alone."""
+def save(files: Files, segment: int, length: int, columns: HintColumns) -> None:
+    """Writes a hint file. An error is ignored: an incomplete file is detected, and only recovery is
+    slower."""
     with contextlib.suppress(OSError):
-        write_anew(files, hint_name(segment), encode(segment, length, columns), sync=False)
+        write_file(files, hint_name(segment), encode(segment, length, columns), sync=False)
--- a/notchflow/store/tools.py
+++ b/notchflow/store/tools.py
@@ -1,4 +1,4 @@
-"""What operators do with a store that nobody has open: check it, dump it, compact it, set damage aside."""
+"""Offline maintenance of a store that no process has open: check, dump, compact and repair."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from notchflow.store import manifest
 from notchflow.store.engine import Engine, read_batches
-from notchflow.store.files import File, Files, discard, size_of, write_anew
+from notchflow.store.files import File, Files, file_size, remove_if_exists, write_file
 from notchflow.store.frames import (
     SEGMENT_HEADER,
     Batch,
@@ -18,104 +18,108 @@
     decode_segment_header,
     encode_segment_header,
     expired,
-    next_batch,
+    find_batch,
 )
 from notchflow.store.manifest import Manifest, ManifestError, hint_name, log_name
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """A bad place: from `offset` to `until` (bytes) nothing can be read; `torn`: as a crash leaves it."""
+    """An unreadable byte range of a segment, from `offset` up to `end`; `torn` if it is a torn write, as a
+    crash leaves."""
 
     name: str
     offset: int
-    until: int
-    what: str
+    end: int
+    reason: str
     torn: bool
 
     def __str__(self) -> str:
-        kind, size = "torn write" if self.torn else "DAMAGE", self.until - self.offset
-        return f"{self.name}: {kind} at offset {self.offset}, {size} bytes lost: {self.what}"
+        kind, size = "torn write" if self.torn else "DAMAGE", self.end - self.offset
+        return f"{self.name}: {kind} at offset {self.offset}, {size} bytes lost: {self.reason}"
 
 
 @dataclass(frozen=True, slots=True)
-class Extent:
-    """What one segment holds."""
+class SegmentReport:
+    """The contents of one segment."""
 
     name: str
     length: int
     batches: int
     records: int
-    first: int  # numbers
-    last: int
+    first_number: int
+    last_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What a check found."""
+class CheckReport:
+    """The result of a check."""
 
-    extents: tuple[Extent, ...]
+    segments: tuple[SegmentReport, ...]
     damages: tuple[Damage, ...]
 
     @property
     def sound(self) -> bool:
+        """Whether there is no damage other than a torn write."""
         return all(d.torn for d in self.damages)
 
 
-def check(files: Files) -> Report:
-    """Reads every byte. ManifestError, OSError; changes nothing."""
-    found = manifest.load(files)
-    if found is None:
+def check(files: Files) -> CheckReport:
+    """Reads and verifies the whole store without changing it. Raises ManifestError, OSError."""
+    current = manifest.load(files)
+    if current is None:
         raise ManifestError(f"there is no {manifest.NAME}: no store, or an older copy without it")
-    extents: list[Extent] = []
+    segments: list[SegmentReport] = []
     damages: list[Damage] = []
-    for number in found.segments:
-        sealed = found.sealed.get(number)
+    for number in current.segments:
+        sealed = current.sealed.get(number)
         try:
             file = files.open(log_name(number))
         except FileNotFoundError:
             damages.append(Damage(log_name(number), 0, sealed or 0, "the file is not there", False))
             continue
         try:
-            extent, bad = _walk(file, number, sealed)
+            segment, segment_damages = _check_segment(file, number, sealed)
         finally:
             file.close()
-        extents.append(extent)
-        damages += bad
-    return Report(tuple(extents), tuple(damages))
+        segments.append(segment)
+        damages += segment_damages
+    return CheckReport(tuple(segments), tuple(damages))
 
 
-def _walk(file: File, number: int, sealed: int | None) -> tuple[Extent, list[Damage]]:
+def _check_segment(file: File, number: int, sealed: int | None) -> tuple[SegmentReport, list[Damage]]:
     name, size = log_name(number), file.size()
     damages: list[Damage] = []
     try:
         decode_segment_header(file.read(0, SEGMENT_HEADER), number)
     except FrameError as error:
-        damages.append(Damage(name, error.offset, SEGMENT_HEADER, error.what, False))
+        damages.append(Damage(name, error.offset, SEGMENT_HEADER, error.reason, False))
     batches, numbers = 0, list[int]()
-    for piece in _pieces(file, size if sealed is None else min(sealed, size)):
+    for piece in _batches_and_gaps(file, size if sealed is None else min(sealed, size)):
         if isinstance(piece, Batch):
             batches += 1
             numbers += (placed.record.number for placed in piece.records)
         else:
-            torn = sealed is None and piece.until == size
-            damages.append(Damage(name, piece.offset, piece.until, piece.what, torn))
+            torn = sealed is None and piece.end == size
+            damages.append(Damage(name, piece.offset, piece.end, piece.reason, torn))
     if sealed is not None and size < sealed:
         damages.append(Damage(name, size, sealed, f"the file ends here, the manifest says {sealed}", False))
-    return Extent(name, size, batches, len(numbers), next(iter(numbers), 0), max(numbers, default=0)), damages
+    return SegmentReport(
+        name, size, batches, len(numbers), next(iter(numbers), 0), max(numbers, default=0)
+    ), damages
 
 
 @dataclass(frozen=True, slots=True)
 class _Gap:
-    """A range in which nothing can be read, and why."""
+    """An unreadable byte range, and why."""
 
     offset: int
-    until: int
-    what: str
+    end: int
+    reason: str
 
 
-def _pieces(file: File, end: int) -> Iterator[Batch | _Gap]:
-    """Batches, and what lies between them, in order."""
+def _batches_and_gaps(file: File, end: int) -> Iterator[Batch | _Gap]:
+    """The batches of a segment and the unreadable ranges between them, in order."""
     start = SEGMENT_HEADER
     while start < end:
         try:
@@ -124,24 +128,25 @@
                 start = batch.end
             return
         except FrameError as error:
-            begun = max(error.offset, start)
-            good = next_batch(file.read(begun, end - begun), 1)
-            start = begun + good.offset if good is not None else end
-            yield _Gap(begun, start, error.what)
+            bad_from = max(error.offset, start)
+            next_good = find_batch(file.read(bad_from, end - bad_from), 1)
+            start = bad_from + next_good.offset if next_good is not None else end
+            yield _Gap(bad_from, start, error.reason)
 
 
-def records(files: Files, clock: Callable[[], int], every: bool) -> Iterator[Record]:
-    """All live records, or every one that can be read, deletes and former ones as well. Changes nothing."""
-    found = manifest.load(files)
-    if found is None:
+def records(files: Files, clock: Callable[[], int], include_all: bool) -> Iterator[Record]:
+    """All live records, or every readable record including tombstones and overwritten ones. Changes
+    nothing."""
+    current = manifest.load(files)
+    if current is None:
         raise ManifestError(f"there is no {manifest.NAME}")
     newest: dict[bytes, int] = {}
-    if not every:
-        for record in _all(files, found):
+    if not include_all:
+        for record in _all_records(files, current):
             newest[record.key] = max(newest.get(record.key, 0), record.number)
-    now = max(found.clock, clock())
-    for record in _all(files, found):
-        if every or (
+    now = max(current.clock, clock())
+    for record in _all_records(files, current):
+        if include_all or (
             newest[record.key] == record.number
             and record.kind is Kind.PUT
             and not expired(record.expires, now)
@@ -149,11 +154,11 @@
             yield record
 
 
-def _all(files: Files, found: Manifest) -> Iterator[Record]:
-    for number in found.segments:
+def _all_records(files: Files, current: Manifest) -> Iterator[Record]:
+    for number in current.segments:
         file = files.open(log_name(number))
         try:
-            for piece in _pieces(file, found.sealed.get(number, file.size())):
+            for piece in _batches_and_gaps(file, current.sealed.get(number, file.size())):
                 if isinstance(piece, Batch):
                     yield from (placed.record for placed in piece.records)
         finally:
@@ -161,7 +166,8 @@
 
 
 def compact(files: Files, clock: Callable[[], int]) -> tuple[int, int]:
-    """Merges all that is worth it; bytes before and after. Locked, Damaged, ManifestError, OSError."""
+    """Runs all worthwhile compactions; returns the store's size before and after in bytes. Raises Locked,
+    CorruptionError, ManifestError, OSError."""
     before = _size(files)
     engine = Engine(files, clock)
     engine.open()
@@ -173,31 +179,33 @@
 
 
 def _size(files: Files) -> int:
-    return sum(size_of(files, name) for name in files.names() if manifest.segment_of(name) is not None)
+    return sum(file_size(files, name) for name in files.names() if manifest.segment_of(name) is not None)
 
 
 def repair(files: Files) -> tuple[Damage, ...]:
-    """Sets aside what is damaged: what can be read of such a segment is written anew, and the old file stays
-    as `damaged-NAME`. What is lost may have been the newest record of any key. Locked, ManifestError."""
+    """Replaces each damaged segment by a new one with its readable batches, and keeps the old file as
+    `damaged-NAME`. The lost records may have been the newest of any key. Raises Locked, ManifestError."""
     files.lock()
     try:
         damages = [d for d in check(files).damages if not d.torn]
-        found = manifest.load(files)
-        assert found is not None
-        segments, sealed, following = list(found.segments), dict(found.sealed), found.next_segment
-        aside: list[str] = []
+        current = manifest.load(files)
+        assert current is not None
+        segments, sealed, next_segment = list(current.segments), dict(current.sealed), current.next_segment
+        damaged_names: list[str] = []
         for name in dict.fromkeys(d.name for d in damages):
             number = manifest.segment_of(name)
             assert number is not None
-            end = _rewrite(files, number, sealed.get(number), following)
-            segments[segments.index(number)] = following
-            if sealed.pop(number, None) is not None or number != found.segments[-1]:
-                sealed[following] = end
-            following += 1
-            aside.append(name)
-        if aside:
-            manifest.replace(files, Manifest(tuple(segments), sealed, following, found.clock, found.clean))
-            for name in aside:
+            end = _salvage(files, number, sealed.get(number), next_segment)
+            segments[segments.index(number)] = next_segment
+            if sealed.pop(number, None) is not None or number != current.segments[-1]:
+                sealed[next_segment] = end
+            next_segment += 1
+            damaged_names.append(name)
+        if damaged_names:
+            manifest.replace(
+                files, Manifest(tuple(segments), sealed, next_segment, current.clock, current.clean)
+            )
+            for name in damaged_names:
                 if name in files.names():
                     files.rename(name, f"damaged-{name}")
             files.sync_folder()
@@ -206,30 +214,30 @@
         files.unlock()
 
 
-def _rewrite(files: Files, number: int, sealed: int | None, to: int) -> int:
-    """What can be read of a segment, as another one; its length."""
+def _salvage(files: Files, number: int, sealed: int | None, new_number: int) -> int:
+    """Writes the readable batches of a segment to segment `new_number` and returns its length."""
     kept: list[bytes] = []
     first = 1
     if log_name(number) in files.names():
         old = files.open(log_name(number))
         try:
-            first = _first(old, number)
+            first = _first_number(old, number)
             end = old.size() if sealed is None else min(sealed, old.size())
             kept = [
                 old.read(batch.offset, batch.end - batch.offset)
-                for batch in _pieces(old, end)
+                for batch in _batches_and_gaps(old, end)
                 if isinstance(batch, Batch)
             ]
         finally:
             old.close()
-    data = encode_segment_header(to, first) + b"".join(kept)
-    discard(files, hint_name(to))
-    write_anew(files, log_name(to), data, sync=True)
+    data = encode_segment_header(new_number, first) + b"".join(kept)
+    remove_if_exists(files, hint_name(new_number))
+    write_file(files, log_name(new_number), data, sync=True)
     files.sync_folder()
     return len(data)
 
 
-def _first(file: File, number: int) -> int:
+def _first_number(file: File, number: int) -> int:
     try:
         return decode_segment_header(file.read(0, SEGMENT_HEADER), number)
     except FrameError:
@@ -237,6 +245,6 @@
 
 
 def store_clock() -> Callable[[], int]:
-    """Milliseconds of Unix time at this moment, and monotonic from then on."""
+    """A clock that starts at the current Unix time in milliseconds and is monotonic from then on."""
     base = time.time() - time.monotonic()
     return lambda: int((base + time.monotonic()) * 1000)
--- a/tests/effects/test_keeper.py
+++ b/tests/effects/test_keeper.py
@@ -18,7 +18,7 @@
 from notchflow.store.engine import Engine
 from standins.faulty_files import FaultyFiles
 from tests.rig import run, until
-from tests.store.test_commit import Slow
+from tests.store.test_commit import BlockedSync
 from tests.store.world import SMALL
 
 BUSY = LocalReply(503)
@@ -114,16 +114,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        slow = Slow(monkeypatch)
+        blocked = BlockedSync(monkeypatch)
         harness = Harness(FaultyFiles())
-        slow.go.clear()
+        blocked.go.clear()
         guard, client, reply = harness.ask(b"o-1")
         assert reply is None and len(harness.timers) == 1
         harness.fire()
         assert client.replies == [BUSY]
         guard.ended(503, False)
         assert harness.ask(b"o-1")[2] is not BUSY, "the key is active until the write has ended"
-        slow.go.set()
+        blocked.go.set()
         await until(lambda: not harness.keeper.tracker.active)
         assert harness.sent == []
         assert harness.ask(b"o-1")[2] is None
@@ -137,12 +137,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        slow = Slow(monkeypatch)
+        blocked = BlockedSync(monkeypatch)
         harness = Harness(FaultyFiles())
-        slow.go.clear()
+        blocked.go.clear()
         guard, _, _ = harness.ask(b"o-1")
         guard.ended(0, False)
-        slow.go.set()
+        blocked.go.set()
         await until(lambda: not harness.keeper.tracker.active)
         assert harness.sent == [] and harness.timers == {}
         await until(lambda: not harness.store.known(b"o-1"))
--- a/tests/store/test_tools.py
+++ b/tests/store/test_tools.py
@@ -1,4 +1,4 @@
-"""Check, dump, compact and repair."""
+"""The commands `notchflow store check`, `dump`, `compact` and `repair`."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from notchflow.store.engine import Change, Engine
 from notchflow.store.files import RealFiles
 from notchflow.store.frames import Kind
-from tests.store.world import SMALL, holds
+from tests.store.world import SMALL, contents
 
 
-def made(folder: Path, count: int = 60) -> Engine:
-    """A store of several segments, left as a crash would leave it."""
+def make_store(folder: Path, count: int = 60) -> Engine:
+    """A store of several segments that is still open, as before a crash."""
     engine = Engine(RealFiles(folder), lambda: 1000, SMALL)
     engine.open()
     for n in range(count):
@@ -26,13 +26,14 @@
 
 
 def abandon(engine: Engine) -> None:
+    """Closes the files and releases the lock without a clean shutdown."""
     engine._close_files()
     engine.files.unlock()
 
 
-def damaged(folder: Path) -> tuple[str, int]:
+def make_damaged_store(folder: Path) -> tuple[str, int]:
     """Flips a bit in the middle of the second batch of the first segment, and drops the hints."""
-    engine = made(folder)
+    engine = make_store(folder)
     entry = engine.index.get(b"key-1")
     assert entry is not None and entry.segment == 1
     abandon(engine)
@@ -45,16 +46,18 @@
     return path.name, entry.offset
 
 
-def test_a_sound_store_is_told_to_be(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    abandon(made(tmp_path))
+def test_check_reports_a_sound_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    abandon(make_store(tmp_path))
     assert main(["store", "check", str(tmp_path)]) == 0
     printed = capsys.readouterr().out.splitlines()
     assert printed[-1] == "sound" and len(printed) > 3
     assert printed[0].startswith("0000000000000001.log: ") and "numbers 1 to" in printed[0]
 
 
-def test_a_torn_write_is_told_and_is_no_damage(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    engine = made(tmp_path, 3)
+def test_check_reports_a_torn_write_but_not_as_damage(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    engine = make_store(tmp_path, 3)
     end = engine.active.end
     abandon(engine)
     with (tmp_path / manifest.log_name(1)).open("ab") as file:
@@ -63,15 +66,17 @@
     assert f"torn write at offset {end}, 4 bytes lost" in capsys.readouterr().out
 
 
-def test_damage_is_told_and_set_aside(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    name, offset = damaged(tmp_path)
+def test_check_reports_damage_and_repair_sets_it_aside(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    name, offset = make_damaged_store(tmp_path)
     before = {p.name: p.read_bytes() for p in tmp_path.iterdir()}
     assert main(["store", "check", str(tmp_path)]) == 1
-    told = capsys.readouterr().out
+    printed = capsys.readouterr().out
     report = tools.check(RealFiles(tmp_path))
     (damage,) = report.damages
-    assert damage.name == name and damage.offset < offset < damage.until and not damage.torn
-    assert f"{name}: DAMAGE at offset {damage.offset}, {damage.until - damage.offset} bytes lost" in told
+    assert damage.name == name and damage.offset < offset < damage.end and not damage.torn
+    assert f"{name}: DAMAGE at offset {damage.offset}, {damage.end - damage.offset} bytes lost" in printed
     assert {p.name: p.read_bytes() for p in tmp_path.iterdir()} == before, "a check changes nothing"
     assert main(["store", "compact", str(tmp_path)]) == 2
     assert "store repair" in capsys.readouterr().err
@@ -81,24 +86,24 @@
     assert main(["store", "check", str(tmp_path)]) == 0
     engine = Engine(RealFiles(tmp_path), lambda: 1000, SMALL)
     engine.open()
-    assert set(holds(engine)) == {b"key-%d" % n for n in range(60)} - {b"key-1"}
+    assert set(contents(engine)) == {b"key-%d" % n for n in range(60)} - {b"key-1"}
     engine.close()
     assert main(["store", "repair", str(tmp_path)]) == 0
     assert "nothing to repair" in capsys.readouterr().out
 
 
-def test_a_missing_segment_is_damage_and_the_rest_can_be_kept(tmp_path: Path) -> None:
-    abandon(made(tmp_path))
+def test_repair_keeps_the_other_segments_if_one_is_missing(tmp_path: Path) -> None:
+    abandon(make_store(tmp_path))
     (tmp_path / manifest.log_name(2)).unlink()
-    assert [d.what for d in tools.check(RealFiles(tmp_path)).damages] == ["the file is not there"]
+    assert [d.reason for d in tools.check(RealFiles(tmp_path)).damages] == ["the file is not there"]
     tools.repair(RealFiles(tmp_path))
     engine = Engine(RealFiles(tmp_path), lambda: 1000, SMALL)
     engine.open()
-    assert 20 < len(holds(engine)) < 60
+    assert 20 < len(contents(engine)) < 60
     engine.close()
 
 
-def test_a_dump_tells_keys_and_fates(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_dump_shows_keys_and_fates(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     engine = Engine(RealFiles(tmp_path), lambda: 1000, SMALL)
     engine.open()
     effect = Effect(Fate.SERVED, b"f" * 16, 7, 900, 200)
@@ -118,8 +123,8 @@
     ]
 
 
-def test_a_compaction_by_hand_frees_disk(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    engine = made(tmp_path, 100)
+def test_the_compact_command_frees_disk_space(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    engine = make_store(tmp_path, 100)
     for n in range(90):
         engine.append([Change(Kind.DELETE, b"key-%d" % n)])
     abandon(engine)
@@ -129,12 +134,12 @@
     assert main(["store", "check", str(tmp_path)]) == 0
 
 
-def test_what_cannot_be_used_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_unusable_stores_are_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["store", "check", str(tmp_path / "none")]) == 2
     assert "no such folder" in capsys.readouterr().err
     assert main(["store", "check", str(tmp_path)]) == 2
     assert "no store" in capsys.readouterr().err
-    engine = made(tmp_path, 1)
+    engine = make_store(tmp_path, 1)
     assert main(["store", "compact", str(tmp_path)]) == 2
     assert "another process" in capsys.readouterr().err
     engine.close()
--- a/tests/store/world.py
+++ b/tests/store/world.py
@@ -1,25 +1,25 @@
-"""A store in a folder that fails, beside a model of what it must hold."""
+"""Random workloads on a store with fault injection, and a model of what the store must hold."""
 
 from __future__ import annotations
 
 import random
 
-from notchflow.store.engine import Broken, Change, Engine, Full, Options
-from notchflow.store.frames import Kind, later
+from notchflow.store.engine import Change, DiskFullError, Engine, Options, StoreFailedError
+from notchflow.store.frames import Kind, later_expiry
 from standins.faulty_files import FaultyFiles
 
 SMALL = Options(segment_max=4096)
 Model = dict[bytes, tuple[bytes, int]]
 
 
-def opened(files: FaultyFiles, now: int = 1000) -> Engine:
+def open_engine(files: FaultyFiles, now: int = 1000) -> Engine:
     engine = Engine(files, lambda: now, SMALL)
     engine.open()
     return engine
 
 
-def holds(engine: Engine) -> dict[bytes, bytes]:
-    """All that is live, read one by one and as a whole."""
+def contents(engine: Engine) -> dict[bytes, bytes]:
+    """All live records by `records`, each compared with `read`."""
     found = {record.key: record.value for record in engine.records()}
     for key, value in found.items():
         record = engine.read(key)
@@ -28,30 +28,30 @@
     return found
 
 
-def apply(model: Model, changes: list[Change], now: int) -> Model:
-    after = {key: told for key, told in model.items() if not 0 < told[1] <= now}
+def apply_changes(model: Model, changes: list[Change], now: int) -> Model:
+    after = {key: stored for key, stored in model.items() if not 0 < stored[1] <= now}
     for change in changes:
         if change.kind is Kind.PUT:
             old = after.get(change.key)
-            after[change.key] = change.value, later(change.expires, old[1]) if old else change.expires
+            after[change.key] = change.value, later_expiry(change.expires, old[1]) if old else change.expires
         else:
             after.pop(change.key, None)
     return after
 
 
-def live(model: Model, now: int) -> dict[bytes, bytes]:
+def live_records(model: Model, now: int) -> dict[bytes, bytes]:
     return {key: value for key, (value, expires) in model.items() if not 0 < expires <= now}
 
 
 class History:
-    """A seeded run of changes, compactions and restarts; what is acknowledged, and what may be there
-    beside."""
+    """A seeded workload of changes, compactions and restarts, with a model of the acknowledged state and of
+    the states that an unacknowledged change may leave."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 1000
         self.model: Model = {}
-        self.maybe: list[Model] = []  # after changes that were begun and not acknowledged
+        self.possible: list[Model] = []  # after changes that were started but not acknowledged
         self.numbers = 0
 
     def changes(self) -> list[Change]:
@@ -68,22 +68,22 @@
         return found
 
     def step(self, engine: Engine) -> None:
-        """One change or a slice of upkeep."""
+        """One append or one maintenance step."""
         self.now += self.rng.choice([0, 1, 100])
         if self.rng.random() < 0.35:
             engine.step()
             return
         changes = self.changes()
-        after = apply(self.model, changes, self.now)
-        self.maybe.append(after)
+        after = apply_changes(self.model, changes, self.now)
+        self.possible.append(after)
         try:
             engine.append(changes)
-        except Full:
+        except DiskFullError:
             return
-        self.model, self.maybe = after, []
+        self.model, self.possible = after, []
 
     def run(self, files: FaultyFiles, steps: int) -> None:
-        """Until the steps are over, the disk has failed or the power is cut (which is raised)."""
+        """Runs the workload until it is complete or the disk fails. Raises PowerCut at a power cut."""
         engine = Engine(files, lambda: self.now, SMALL)
         try:
             engine.open()
@@ -91,18 +91,18 @@
                 self.step(engine)
             if self.rng.random() < 0.3:
                 engine.close()
-        except (Broken, OSError):
+        except (StoreFailedError, OSError):
             return
 
     def check(self, files: FaultyFiles) -> None:
-        """What a start finds is what was acknowledged, or that and one whole change that was under way."""
+        """After a restart the store has the acknowledged state, or that plus one complete pending append."""
         engine = Engine(files, lambda: self.now, SMALL)
         engine.open()
-        found = holds(engine)
-        states = [self.model, *self.maybe]
+        found = contents(engine)
+        states = [self.model, *self.possible]
         assert found in [
-            live(state, self.now) for state in states
-        ], f"{len(found)} keys, and no state that may be has them"
-        self.model = next(s for s in states if live(s, self.now) == found)
-        self.maybe = []
+            live_records(state, self.now) for state in states
+        ], f"{len(found)} keys match no possible state"
+        self.model = next(s for s in states if live_records(s, self.now) == found)
+        self.possible = []
         engine.close()
