--- a/notchflow/state/__init__.py
+++ b/notchflow/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the hosted service must not forget: tenants, keys, tokens and the audit log, in SQLite."""
+"""The persistent state of the hosted service: tenants, keys, tokens and the audit log, in SQLite."""
--- a/notchflow/state/database.py
+++ b/notchflow/state/database.py
@@ -1,7 +1,7 @@
-"""The state folder: one SQLite database (WAL, full sync) behind a lock that one process holds.
+"""The state folder: an SQLite database (WAL, full sync) with a lock file that one process holds.
 
-Blocking, and so never called on the proxy's loop. What a call here returns from is on disk. A database that
-is damaged, newer than this program, or another program's is refused before anything of it is changed.
+All calls block and are never made on the proxy's event loop. A change is durable when its call returns. A
+database that is damaged, newer than this program or written by another program is rejected unchanged.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 FILE: Final = "service.db"
 LOCK: Final = "lock"
 HEADER: Final = b"SQLite format 3\0"
-KEEP_ANSWERS_S: Final = 24 * 3600.0  # how long a POST's Idempotency-Key is remembered
+KEEP_ANSWERS_S: Final = 24 * 3600.0  # lifetime of the stored response to an Idempotency-Key
 
 MIGRATIONS: Final = (
     """
@@ -62,16 +62,17 @@
     "old-answers": "DELETE FROM answers WHERE at <= ?",
     "answer": "INSERT OR REPLACE INTO answers VALUES (?, ?, ?, ?, ?, ?)",
 }
-Write = tuple[str, tuple[Any, ...]]  # which statement of WRITES, and its values: text, numbers, bytes, None
+Write = tuple[str, tuple[Any, ...]]  # a key of WRITES and the statement's values: text, numbers, bytes, None
 
 
 class StateError(Exception):
-    """The state folder cannot be used; the text says why and what to do. Nothing was changed."""
+    """The state folder cannot be used; the message says why and what to do. Nothing was changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """A token to the administration API: an operator's, or one tenant's where `tenant` names it."""
+    """A token for the administration API: a tenant's if `tenant` is set, else an operator's. Times are Unix
+    times in seconds."""
 
     id: str
     tenant: str | None
@@ -82,12 +83,13 @@
     revoked_at: float | None = None
 
     def usable(self, now: float) -> bool:
+        """Whether the token is neither revoked nor expired."""
         return self.revoked_at is None and (self.expires_at is None or now < self.expires_at)
 
 
 @dataclass(frozen=True, slots=True)
 class AuditEvent:
-    """One line of the audit log. `before` and `after` hold no secrets."""
+    """One entry of the audit log. `before` and `after` contain no secrets."""
 
     seq: int
     at: float
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """What a POST was answered, for a repeat under the same Idempotency-Key."""
+    """The response to a POST, replayed to a repeat with the same Idempotency-Key."""
 
     fingerprint: str
     status: int
@@ -109,11 +111,11 @@
 
 
 class Database:
-    """All of the service's state. One thread at a time."""
+    """The persistent state of the service. Not thread-safe: use from one thread at a time."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.recorded: list[Write] | None = None  # inside a trial
+        self.recorded: list[Write] | None = None  # the writes of the running trial
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
             self.lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -125,20 +127,20 @@
             os.close(self.lock)
             raise StateError(f"{folder}: another process serves from this folder; stop it first") from None
         try:
-            _inspect(folder / FILE)
+            _check_file(folder / FILE)
             self.db = self._open(folder / FILE)
         except BaseException:
             os.close(self.lock)
             raise
 
     def _open(self, path: Path) -> sqlite3.Connection:
-        fresh = not path.exists()
+        is_new = not path.exists()
         db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, cached_statements=64)
         try:
             db.execute("PRAGMA journal_mode = WAL")
             db.execute("PRAGMA synchronous = FULL")
             db.execute("PRAGMA foreign_keys = ON")
-            if fresh:
+            if is_new:
                 db.execute(f"PRAGMA application_id = {APPLICATION}")
                 os.chmod(path, 0o600)
             _migrate(db)
@@ -149,31 +151,32 @@
         return db
 
     def close(self) -> None:
+        """Closes the database and releases the lock."""
         self.db.close()
         os.close(self.lock)
 
     @contextmanager
     def trial(self) -> Iterator[list[Write]]:
-        """What is done inside is seen there, and taken back at the end: the writes that it takes are what is
-        wanted of it."""
-        found: list[Write] = []
-        self.recorded = found
+        """A dry run: changes made inside are visible inside and rolled back at the end. Yields the list of
+        their writes."""
+        writes: list[Write] = []
+        self.recorded = writes
         self.db.execute("BEGIN IMMEDIATE")
         try:
-            yield found
+            yield writes
         finally:
             self.recorded = None
             self.db.execute("ROLLBACK")
 
     def write(self, kind: str, values: tuple[Any, ...]) -> None:
-        """One statement of WRITES."""
+        """Executes a statement of WRITES."""
         if self.recorded is not None:
             self.recorded.append((kind, values))
         self.db.execute(WRITES[kind], values)
 
     @contextmanager
     def change(self) -> Iterator[None]:
-        """One transaction: on disk when it ends, or nothing of it. Inside a trial, a part of that."""
+        """One transaction: durable at its end, or rolled back. Inside a trial it is part of the trial."""
         if self.recorded is not None:
             yield
             return
@@ -187,18 +190,20 @@
 
     # -- tenants
     def tenant(self, tenant: str) -> Tenant | None:
+        """The tenant with this id."""
         row = self.db.execute(f"SELECT {TENANT_COLUMNS} FROM tenants WHERE id = ?", (tenant,)).fetchone()
-        return _tenant(row) if row is not None else None
+        return _tenant_from_row(row) if row is not None else None
 
     def tenants(self, after: str = "", most: int = -1, state: str | None = None) -> list[Tenant]:
-        """Tenants by id from behind `after` on."""
+        """Up to `most` tenants in order of id, from the first id after `after`; all if `most` is -1."""
         where, values = ("AND state = ?", (after, state, most)) if state else ("", (after, most))
         rows = self.db.execute(
             f"SELECT {TENANT_COLUMNS} FROM tenants WHERE id > ? {where} " "ORDER BY id LIMIT ?", values
         )
-        return [_tenant(row) for row in rows]
+        return [_tenant_from_row(row) for row in rows]
 
     def put_tenant(self, tenant: Tenant) -> None:
+        """Inserts or replaces a tenant."""
         limits = json.dumps(asdict(tenant.limits)) if tenant.limits is not None else None
         routes = json.dumps([asdict(r) for r in tenant.routes]) if tenant.routes is not None else None
         self.write(
@@ -217,11 +222,13 @@
 
     # -- keys
     def key(self, key: str) -> ApiKey | None:
+        """The API key with this id."""
         row = self.db.execute(f"SELECT {KEY_COLUMNS} FROM keys WHERE id = ?", (key,)).fetchone()
         return ApiKey(*row) if row is not None else None
 
     def keys(self, tenant: str, after: str = "", most: int = -1) -> list[tuple[ApiKey, float | None]]:
-        """A tenant's keys by id from behind `after` on, each with when it was last used."""
+        """A tenant's API keys in order of id, from the first id after `after`, each with when it was last
+        used."""
         rows = self.db.execute(
             f"SELECT last_used_at, {KEY_COLUMNS} FROM keys WHERE tenant = ? AND id > ? "
             "ORDER BY id LIMIT ?",
@@ -230,19 +237,21 @@
         return [(ApiKey(*row[1:]), row[0]) for row in rows]
 
     def live_keys(self) -> list[ApiKey]:
+        """All API keys that are not revoked."""
         rows = self.db.execute(f"SELECT {KEY_COLUMNS} FROM keys WHERE revoked_at IS NULL")
         return [ApiKey(*row) for row in rows]
 
     def put_key(self, key: ApiKey) -> None:
+        """Inserts an API key or updates its label and times."""
         self.write(
             "key", (key.id, key.tenant, key.digest, key.label, key.created_at, key.expires_at, key.revoked_at)
         )
 
     def note_used(self, used: Mapping[str, float]) -> None:
-        """When keys were last used, many at once: a write for each request would be one too many.
+        """Stores when keys were last used, in batches, as one write per request would be too many.
 
-        One statement for all: each statement gives up the interpreter's lock and takes it again, and ten
-        thousand of them would fight the proxy's loop for it.
+        A single statement updates all keys: each statement releases and reacquires the interpreter's lock,
+        and ten thousand of them would compete with the proxy's event loop for it.
         """
         with self.change():
             self.db.execute(
@@ -253,16 +262,19 @@
 
     # -- tokens
     def token(self, token: str) -> Token | None:
+        """The token with this id."""
         row = self.db.execute(f"SELECT {TOKEN_COLUMNS} FROM tokens WHERE id = ?", (token,)).fetchone()
         return Token(*row) if row is not None else None
 
     def tokens(self, after: str = "", most: int = -1) -> list[Token]:
+        """Up to `most` tokens in order of id, from the first id after `after`; all if `most` is -1."""
         rows = self.db.execute(
             f"SELECT {TOKEN_COLUMNS} FROM tokens WHERE id > ? ORDER BY id LIMIT ?", (after, most)
         )
         return [Token(*row) for row in rows]
 
     def put_token(self, token: Token) -> None:
+        """Inserts or replaces a token."""
         self.write(
             "token",
             (
@@ -276,7 +288,7 @@
             ),
         )
 
-    # -- the audit log
+    # -- audit log
     def add_event(
         self,
         at: float,
@@ -287,9 +299,12 @@
         before: Mapping[str, Any] | None,
         after: Mapping[str, Any] | None,
     ) -> None:
-        self.write("event", (at, actor, action, tenant, target, _dump(before), _dump(after)))
+        """Appends an entry to the audit log."""
+        self.write("event", (at, actor, action, tenant, target, _to_json(before), _to_json(after)))
 
     def events(self, after: int = 0, most: int = -1, tenant: str | None = None) -> list[AuditEvent]:
+        """Up to `most` audit events in order, from the first sequence number after `after`; all if `most` is
+        -1."""
         where, values = ("AND tenant = ?", (after, tenant, most)) if tenant else ("", (after, most))
         rows: Iterable[tuple[Any, ...]] = self.db.execute(
             "SELECT seq, at, actor, action, tenant, target, before, after FROM events "
@@ -297,12 +312,13 @@
             values,
         )
         return [
-            AuditEvent(seq, at, actor, action, of, target, _load(before), _load(after_))
+            AuditEvent(seq, at, actor, action, of, target, _from_json(before), _from_json(after_))
             for seq, at, actor, action, of, target, before, after_ in rows
         ]
 
-    # -- repeats of a POST
+    # -- stored responses
     def answer(self, actor: str, key: str, now: float) -> StoredAnswer | None:
+        """The stored response to an earlier POST of this actor with this Idempotency-Key."""
         row = self.db.execute(
             "SELECT fingerprint, status, body FROM answers WHERE actor = ? AND key = ? " "AND at > ?",
             (actor, key, now - KEEP_ANSWERS_S),
@@ -310,6 +326,7 @@
         return StoredAnswer(*row) if row is not None else None
 
     def put_answer(self, actor: str, key: str, now: float, answer: StoredAnswer) -> None:
+        """Stores a response and deletes expired ones."""
         self.write("old-answers", (now - KEEP_ANSWERS_S,))
         self.write("answer", (actor, key, answer.fingerprint, now, answer.status, answer.body))
 
@@ -319,7 +336,7 @@
 TOKEN_COLUMNS: Final = "id, tenant, digest, label, created_at, expires_at, revoked_at"
 
 
-def _tenant(row: tuple[Any, ...]) -> Tenant:
+def _tenant_from_row(row: tuple[Any, ...]) -> Tenant:
     identity, name, state, limits, routes, version, created, changed = row
     return Tenant(
         identity,
@@ -338,17 +355,17 @@
     )
 
 
-def _dump(value: Mapping[str, Any] | None) -> str | None:
+def _to_json(value: Mapping[str, Any] | None) -> str | None:
     return json.dumps(value, sort_keys=True) if value is not None else None
 
 
-def _load(text: str | None) -> Mapping[str, Any] | None:
+def _from_json(text: str | None) -> Mapping[str, Any] | None:
     loaded: Mapping[str, Any] | None = json.loads(text) if text is not None else None
     return loaded
 
 
-def _inspect(path: Path) -> None:
-    """Refuses what this program must not open, by reading alone: even opening a database may change it."""
+def _check_file(path: Path) -> None:
+    """Rejects a file that this program must not open. Only reads it, as opening a database may change it."""
     try:
         with path.open("rb") as file:
             head = file.read(100)
@@ -370,19 +387,19 @@
         )
     db = sqlite3.connect(f"{path.resolve().as_uri()}?mode=ro", uri=True)
     try:
-        faults = [str(row[0]) for row in db.execute("PRAGMA quick_check(5)")]
+        problems = [str(row[0]) for row in db.execute("PRAGMA quick_check(5)")]
     except sqlite3.Error as error:
-        faults = [str(error)]
+        problems = [str(error)]
     finally:
         db.close()
-    if faults != ["ok"]:
+    if problems != ["ok"]:
         raise StateError(
-            f"{path}: damaged ({'; '.join(faults)[:200]}); " "restore a copy, or move the file away"
+            f"{path}: damaged ({'; '.join(problems)[:200]}); " "restore a copy, or move the file away"
         )
 
 
 def _migrate(db: sqlite3.Connection) -> None:
-    """Brings the database to this program's version, a number at a time, each in one transaction."""
+    """Migrates the database to this program's version, each step in its own transaction."""
     version = int(db.execute("PRAGMA user_version").fetchone()[0])
     for number in range(version, len(MIGRATIONS)):
         db.execute("BEGIN IMMEDIATE")
@@ -391,14 +408,14 @@
                 db.execute(statement)
         db.execute(f"PRAGMA user_version = {number + 1}")
         db.execute("COMMIT")
-    # The header alone must tell the version: it is read before the database is opened.
+    # The version is read from the file header before the database is opened, so it must not stay in the WAL.
     db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
 
 
 def _sync_folder(folder: Path) -> None:
-    """A new file's name is on disk only when its folder is."""
-    handle = os.open(folder, os.O_RDONLY)
+    """Makes the name of a new file durable by syncing its folder."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/notchflow/state/replicated.py
+++ b/notchflow/state/replicated.py
@@ -1,8 +1,8 @@
-"""The state as the agreed log builds it: commands put in force in order, and snapshots of the whole.
+"""The replicated state machine: applies committed commands to the database, and makes and loads snapshots.
 
-A command holds only where nothing has changed since the version that it builds on: so a command that comes
-twice, or that was worked out from what is no longer there, changes nothing, at each instance alike. What an
-instance notes for itself (a key's last use) is in none of it. Blocking, as the database is.
+A command takes effect only if the state is still at the version that it is based on (optimistic concurrency):
+a duplicate or outdated command changes nothing, on every instance alike. Data that each instance keeps for
+itself (a key's last use) is not replicated. All calls block, as the database's do.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from notchflow.state.database import Database, Write
 from notchflow.tenancy.model import ApiKey, Tenant
 
-COMMANDS_KEPT: Final = 10_000  # places of the log for which a command's fate is known
-STAGE_BYTES: Final = 64 << 10  # of rows in one command that hands a whole state over
-# What is agreed; of keys all but the last use, which is each instance's own.
+COMMANDS_KEPT: Final = 10_000  # log indexes for which command ids are kept to detect duplicates
+STAGE_BYTES: Final = 64 << 10  # of rows in one command that transfers the full state
+# The replicated tables; the last use of a key is local to each instance and left out.
 TABLES: Final[dict[str, str]] = {
     "tenants": "SELECT * FROM tenants ORDER BY id",
     "keys": "SELECT id, tenant, digest, label, created_at, expires_at, revoked_at, NULL FROM keys "
@@ -33,7 +33,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a whole state that takes the place of what is there, once its last part has come."""
+    """One part of a full state, which replaces the present state once its last part has arrived."""
 
     first: bool
     last: bool
@@ -41,7 +41,7 @@
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    """A change of the rules, with the version that it builds on."""
+    """A change of the rules, with the version that it is based on."""
 
     id: str
     base: int
@@ -50,7 +50,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The whole, at a place of the log."""
+    """The full state at a log index."""
 
     applied: int
     term: int
@@ -66,36 +66,37 @@
 
 @dataclass(slots=True)
 class Applied:
-    """What putting entries in force has changed."""
+    """The effects of applying log entries."""
 
-    fates: list[tuple[str, int, bool]] = field(default_factory=list)  # command, its base, whether it held
+    fates: list[tuple[str, int, bool]] = field(default_factory=list)  # command, its base, if it took effect
     changes: list[Tenant | ApiKey] = field(default_factory=list)
-    whole: bool = False  # the state came whole
-    displaced: bool = False  # what was here before was another
+    whole: bool = False  # the full state was replaced
+    displaced: bool = False  # the replaced state was a different one
 
 
 def encode(command: Command) -> bytes:
+    """Encodes a command for the log."""
     return msgspec.msgpack.encode(command)
 
 
 def decode(data: bytes) -> Command:
-    """msgspec.DecodeError for what is none."""
+    """Decodes a command. Raises msgspec.DecodeError if `data` is not one."""
     return msgspec.msgpack.decode(data, type=Command)
 
 
-def _rows_of(data: bytes) -> list[Row]:
+def _decode_rows(data: bytes) -> list[Row]:
     rows: list[Row] = msgspec.msgpack.decode(data, type=list[Row])
     return rows
 
 
 class Replicated:
-    """The database under the log's hand. `meta` is what was last put in force."""
+    """The database as the log's state machine. Its table `meta` records the last applied entry."""
 
     def __init__(self, db: Database) -> None:
         self.db = db
-        self.applied, self.term = self._number("applied"), self._number("term")
-        self.version = self._number("version")  # the place of the last command that held
-        self.sealed = bool(self._number("sealed"))  # there is an agreed state at all
+        self.applied, self.term = self._meta_int("applied"), self._meta_int("term")
+        self.version = self._meta_int("version")  # log index of the last command that took effect
+        self.sealed = bool(self._meta_int("sealed"))  # whether a replicated state exists
         self.digest = bytes(self._meta("digest") or b"").decode()
         self.staging = False
 
@@ -103,10 +104,10 @@
         row = self.db.db.execute("SELECT value FROM meta WHERE name = ?", (name,)).fetchone()
         return row[0] if row is not None else None
 
-    def _number(self, name: str) -> int:
+    def _meta_int(self, name: str) -> int:
         return int(self._meta(name) or 0)
 
-    def _keep(self) -> None:
+    def _save_meta(self) -> None:
         values = {
             "applied": self.applied,
             "term": self.term,
@@ -117,7 +118,7 @@
         self.db.db.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?)", list(values.items()))
 
     def weight(self) -> int:
-        """How much is known here, for the choice of whose state begins the log."""
+        """The amount of data here, which decides which instance's state the log starts with."""
         return int(
             self.db.db.execute(
                 "SELECT (SELECT count(*) FROM events) + (SELECT count(*) FROM tenants)"
@@ -126,16 +127,16 @@
 
     # -- entries
     def apply(self, entries: Sequence[tuple[int, int, bytes | None]]) -> Applied:
-        """Puts entries in force: index, term, and the command's bytes or None. On disk when it returns."""
-        found = Applied()
-        held = self.applied, self.term, self.version, self.sealed, self.digest
+        """Applies entries: index, term, and the encoded command or None. Durable when it returns."""
+        result = Applied()
+        previous = self.applied, self.term, self.version, self.sealed, self.digest
         commands = [
             (index, term, decode(data) if data is not None else None) for index, term, data in entries
         ]
         last = any(c is not None and c.stage is not None and c.stage.last for _, _, c in commands)
-        before = self._content() if last else ""
+        before = self._content_digest() if last else ""
         if last and not self.sealed and self.weight():
-            self._set_aside()
+            self._back_up()
         try:
             with self.db.change():
                 for index, term, command in commands:
@@ -143,32 +144,32 @@
                         raise AssertionError(f"{index} after {self.applied}")
                     self.applied, self.term = index, term
                     if command is not None:
-                        self._one(index, command, found)
-                self._keep()
+                        self._apply_command(index, command, result)
+                self._save_meta()
         except BaseException:
-            self.applied, self.term, self.version, self.sealed, self.digest = held
+            self.applied, self.term, self.version, self.sealed, self.digest = previous
             raise
-        found.displaced = found.whole and before != self._content()
-        return found
+        result.displaced = result.whole and before != self._content_digest()
+        return result
 
-    def _one(self, index: int, command: Command, found: Applied) -> None:
+    def _apply_command(self, index: int, command: Command, result: Applied) -> None:
         known = self.db.db.execute("SELECT 1 FROM commands WHERE id = ?", (command.id,)).fetchone()
-        held = command.base == self.version and known is None
-        found.fates.append((command.id, command.base, held))
-        if not held:
+        took_effect = command.base == self.version and known is None
+        result.fates.append((command.id, command.base, took_effect))
+        if not took_effect:
             return
         self.version = index
         self.digest = hashlib.blake2b(self.digest.encode() + encode(command), digest_size=8).hexdigest()
         self.db.db.execute("INSERT INTO commands VALUES (?, ?)", (command.id, index))
         self.db.db.execute("DELETE FROM commands WHERE at <= ?", (index - COMMANDS_KEPT,))
         if command.stage is not None:
-            self._stage(index, command.stage, found)
+            self._apply_stage(index, command.stage, result)
             return
         for kind, values in command.writes:
             self.db.write(kind, values)
-        found.changes += self._touched(command.writes)
+        result.changes += self._changed_objects(command.writes)
 
-    def _touched(self, writes: Iterable[Write]) -> list[Tenant | ApiKey]:
+    def _changed_objects(self, writes: Iterable[Write]) -> list[Tenant | ApiKey]:
         changes: list[Tenant | ApiKey] = []
         for kind, values in writes:
             value = (
@@ -182,61 +183,63 @@
                 changes.append(value)
         return changes
 
-    # -- a whole state
+    # -- full state
     def stages(self) -> list[Stage]:
-        """The state here as parts of a state for all."""
+        """The state of this instance, in parts that fit into one command each."""
         rows: list[list[Row]] = [[]]
         size = 0
         for row in self._rows():
-            one = len(msgspec.msgpack.encode(row))
-            if rows[-1] and size + one > STAGE_BYTES:
+            row_size = len(msgspec.msgpack.encode(row))
+            if rows[-1] and size + row_size > STAGE_BYTES:
                 rows.append([])
                 size = 0
             rows[-1].append(row)
-            size += one
+            size += row_size
         return [
             Stage(number == 0, number == len(rows) - 1, msgspec.msgpack.encode(part))
             for number, part in enumerate(rows)
         ]
 
-    def _stage(self, index: int, stage: Stage, found: Applied) -> None:
+    def _apply_stage(self, index: int, stage: Stage, result: Applied) -> None:
         if stage.first:
             self.db.db.execute("DELETE FROM staged")
         self.db.db.execute("INSERT INTO staged VALUES (?, ?)", (index, stage.rows))
         if not stage.last:
             return
         parts = [bytes(row[0]) for row in self.db.db.execute("SELECT rows FROM staged ORDER BY number")]
-        self._replace(row for part in parts for row in _rows_of(part))
+        self._replace_rows(row for part in parts for row in _decode_rows(part))
         self.db.db.execute("DELETE FROM staged")
-        self.sealed = found.whole = True
+        self.sealed = result.whole = True
 
     def _rows(self) -> Iterable[Row]:
         for table, query in TABLES.items():
             for row in self.db.db.execute(query):
                 yield table, tuple(row)
 
-    def _replace(self, rows: Iterable[Row]) -> None:
+    def _replace_rows(self, rows: Iterable[Row]) -> None:
         db = self.db.db
-        used = dict(db.execute("SELECT id, last_used_at FROM keys WHERE last_used_at IS NOT NULL").fetchall())
+        last_used = dict(
+            db.execute("SELECT id, last_used_at FROM keys WHERE last_used_at IS NOT NULL").fetchall()
+        )
         for table in reversed(TABLES):
             db.execute(f"DELETE FROM {table}")
         for table, values in rows:
-            marks = ", ".join("?" * COLUMNS[table])
-            db.execute(f"INSERT INTO {table} VALUES ({marks})", values)
+            placeholders = ", ".join("?" * COLUMNS[table])
+            db.execute(f"INSERT INTO {table} VALUES ({placeholders})", values)
         db.executemany(
-            "UPDATE keys SET last_used_at = ? WHERE id = ?", [(at, key) for key, at in used.items()]
+            "UPDATE keys SET last_used_at = ? WHERE id = ?", [(at, key) for key, at in last_used.items()]
         )
 
-    def _content(self) -> str:
-        """Stands for tenants, keys and tokens."""
-        found = hashlib.blake2b(digest_size=16)
+    def _content_digest(self) -> str:
+        """A digest of the tenants, keys and tokens."""
+        hasher = hashlib.blake2b(digest_size=16)
         for table in ("tenants", "keys", "tokens"):
             for row in self.db.db.execute(TABLES[table]):
-                found.update(msgspec.msgpack.encode(tuple(row)))
-        return found.hexdigest()
+                hasher.update(msgspec.msgpack.encode(tuple(row)))
+        return hasher.hexdigest()
 
-    def _set_aside(self) -> None:
-        """A copy of what was here, beside the database, before another state takes its place."""
+    def _back_up(self) -> None:
+        """Copies the database to a file beside it before its state is replaced."""
         target = self.db.folder / "service.db.before"
         target.unlink(missing_ok=True)
         self.db.db.execute("VACUUM INTO ?", (str(target),))
@@ -244,7 +247,7 @@
 
     # -- snapshots
     def dump(self) -> bytes:
-        """The whole as it is in force now."""
+        """A snapshot of the applied state."""
         commands = tuple((str(i), int(at)) for i, at in self.db.db.execute("SELECT id, at FROM commands"))
         rows = zlib.compress(msgspec.msgpack.encode(list(self._rows())), 1)
         return msgspec.msgpack.encode(
@@ -252,22 +255,23 @@
         )
 
     def load(self, data: bytes) -> Applied:
-        """Takes a whole over. msgspec.DecodeError, zlib.error: it is damaged, and nothing was changed."""
+        """Replaces the state by a snapshot. Raises msgspec.DecodeError or zlib.error if it is damaged, before
+        anything is changed."""
         snapshot: Snapshot = msgspec.msgpack.decode(data, type=Snapshot)
-        rows = _rows_of(zlib.decompress(snapshot.rows))
+        rows = _decode_rows(zlib.decompress(snapshot.rows))
         displaced = not self.sealed and self.weight() > 0
         if displaced:
-            self._set_aside()
+            self._back_up()
         with self.db.change():
-            self._replace(rows)
+            self._replace_rows(rows)
             self.db.db.execute("DELETE FROM staged")
             self.db.db.execute("DELETE FROM commands")
             self.db.db.executemany("INSERT INTO commands VALUES (?, ?)", snapshot.commands)
             self.applied, self.term, self.version = snapshot.applied, snapshot.term, snapshot.version
             self.sealed, self.digest = snapshot.sealed, snapshot.digest
-            self._keep()
+            self._save_meta()
         return Applied(whole=True, displaced=displaced)
 
     def known(self, command: str) -> bool:
-        """Whether a command has held, as far back as that is kept."""
+        """Whether a command took effect, within the last COMMANDS_KEPT log indexes."""
         return self.db.db.execute("SELECT 1 FROM commands WHERE id = ?", (command,)).fetchone() is not None
--- a/tests/state/test_database.py
+++ b/tests/state/test_database.py
@@ -1,4 +1,4 @@
-"""The state folder: what is on disk stays, what is damaged, newer or foreign is refused untouched."""
+"""The state folder: data persists; damaged, newer and foreign databases are rejected unchanged."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def filled(folder: Path) -> None:
+def fill_database(folder: Path) -> None:
     db = Database(folder)
     with db.change():
         db.put_tenant(ALFA)
@@ -34,8 +34,8 @@
     db.close()
 
 
-def test_what_was_written_is_read_again(tmp_path: Path) -> None:
-    filled(tmp_path)
+def test_data_survives_reopening(tmp_path: Path) -> None:
+    fill_database(tmp_path)
     db = Database(tmp_path)
     assert db.tenant("alfa") == ALFA and db.tenant("beta") is None
     assert db.tenants() == [ALFA] and db.tenants("alfa") == [] and db.tenants(state="gone") == []
@@ -52,8 +52,8 @@
     db.close()
 
 
-def test_a_change_that_fails_leaves_nothing(tmp_path: Path) -> None:
-    filled(tmp_path)
+def test_a_failed_change_is_rolled_back(tmp_path: Path) -> None:
+    fill_database(tmp_path)
     db = Database(tmp_path)
     with pytest.raises(RuntimeError), db.change():
         db.put_tenant(Tenant("beta"))
@@ -62,7 +62,7 @@
     db.close()
 
 
-def test_pages_follow_one_another(tmp_path: Path) -> None:
+def test_tenants_are_paged_in_order(tmp_path: Path) -> None:
     db = Database(tmp_path)
     names = [f"tenant-{i:03}" for i in range(25)]
     with db.change():
@@ -79,7 +79,7 @@
     db.close()
 
 
-def test_a_folder_serves_one_process(tmp_path: Path) -> None:
+def test_a_folder_is_locked_by_one_process(tmp_path: Path) -> None:
     db = Database(tmp_path)
     with pytest.raises(StateError, match="another process"):
         Database(tmp_path)
@@ -87,44 +87,44 @@
     Database(tmp_path).close()
 
 
-def test_no_secret_and_no_open_file(tmp_path: Path) -> None:
-    filled(tmp_path)
+def test_the_database_file_is_private(tmp_path: Path) -> None:
+    fill_database(tmp_path)
     assert (tmp_path / FILE).stat().st_mode & 0o077 == 0
-    assert tmp_path.stat().st_mode & 0o077 in (0, 0o055), "a folder that was there keeps its mode"
+    assert tmp_path.stat().st_mode & 0o077 in (0, 0o055), "an existing folder keeps its mode"
 
 
-def refused_untouched(folder: Path, why: str) -> None:
+def assert_rejected_unchanged(folder: Path, message: str) -> None:
     before = {p.name: p.read_bytes() for p in folder.iterdir()}
-    with pytest.raises(StateError, match=why):
+    with pytest.raises(StateError, match=message):
         Database(folder)
     assert {p.name: p.read_bytes() for p in folder.iterdir() if p.name in before} == before
     assert (folder / FILE).exists()
 
 
-def test_a_newer_database_is_refused_untouched(tmp_path: Path) -> None:
-    filled(tmp_path)
+def test_a_newer_database_is_rejected_unchanged(tmp_path: Path) -> None:
+    fill_database(tmp_path)
     with sqlite3.connect(tmp_path / FILE) as db:
         db.execute(f"PRAGMA user_version = {len(MIGRATIONS) + 1}")
         db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     db.close()
-    refused_untouched(tmp_path, "newer than this program")
+    assert_rejected_unchanged(tmp_path, "newer than this program")
 
 
-def test_another_program_s_database_is_refused_untouched(tmp_path: Path) -> None:
+def test_the_database_of_another_program_is_rejected_unchanged(tmp_path: Path) -> None:
     with sqlite3.connect(tmp_path / FILE) as db:
         db.execute("CREATE TABLE t (x)")
     db.close()
-    refused_untouched(tmp_path, "another program")
+    assert_rejected_unchanged(tmp_path, "another program")
 
 
 @pytest.mark.parametrize("data", [b"not a database at all" * 50, b"SQLite format 3\0", b"\0" * 8192])
-def test_what_is_no_database_is_refused_untouched(tmp_path: Path, data: bytes) -> None:
+def test_a_file_that_is_not_a_database_is_rejected_unchanged(tmp_path: Path, data: bytes) -> None:
     (tmp_path / FILE).write_bytes(data)
-    refused_untouched(tmp_path, "not a database")
+    assert_rejected_unchanged(tmp_path, "not a database")
 
 
-def test_a_damaged_page_is_found_and_refused_untouched(tmp_path: Path) -> None:
-    filled(tmp_path)
+def test_a_damaged_page_is_detected_and_the_database_rejected_unchanged(tmp_path: Path) -> None:
+    fill_database(tmp_path)
     path = tmp_path / FILE
     data = bytearray(path.read_bytes())
     size = struct.unpack(">H", data[16:18])[0]
@@ -132,10 +132,10 @@
     for page in range(1, len(data) // size):
         data[page * size : page * size + 64] = rng.randbytes(64)
     path.write_bytes(bytes(data))
-    refused_untouched(tmp_path, "damaged")
+    assert_rejected_unchanged(tmp_path, "damaged")
 
 
-def test_an_older_database_is_brought_up_one_number_at_a_time(tmp_path: Path) -> None:
+def test_an_older_database_is_migrated(tmp_path: Path) -> None:
     db = sqlite3.connect(tmp_path / FILE, isolation_level=None)
     db.execute(f"PRAGMA application_id = {APPLICATION}")
     for statement in MIGRATIONS[0].split(";"):
@@ -145,11 +145,11 @@
     db.close()
     opened = Database(tmp_path)
     assert opened.tenant("old") == Tenant("old")
-    assert opened.answer("a", "b", 0.0) is None, "the table of the second migration is there"
+    assert opened.answer("a", "b", 0.0) is None, "the table of the second migration exists"
     opened.close()
 
 
-def test_a_folder_that_cannot_be_is_told(tmp_path: Path) -> None:
+def test_an_unusable_folder_is_reported(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x")
     with pytest.raises(StateError, match="must be writable"):
         Database(tmp_path / "file")
