--- a/notchflow/effects/command.py
+++ b/notchflow/effects/command.py
@@ -47,11 +47,11 @@
 
 def _dump(files: RealFiles, options: argparse.Namespace) -> int:
     for record in tools.records(files, tools.store_clock(), options.all):
-        print(json.dumps(shown(record)))
+        print(json.dumps(printable_record(record)))
     return SOUND
 
 
-def shown(record: Record) -> dict[str, object]:
+def printable_record(record: Record) -> dict[str, object]:
     """A record as printed by `dump`: the key as text, and the decoded value of an idempotency record."""
     fields: dict[str, object] = {
         "number": record.number,
--- a/notchflow/effects/keeper.py
+++ b/notchflow/effects/keeper.py
@@ -41,7 +41,7 @@
 Send = Callable[[float | None], None]  # milliseconds since an earlier attempt may first have run
 
 
-class Hosted(Protocol):
+class IdempotencyHost(Protocol):
     """The parts of the host that the idempotency service uses."""
 
     classes: dict[str, float]  # deadlines, milliseconds
@@ -51,7 +51,7 @@
         ...
 
 
-def this_boot() -> int:
+def boot_id() -> int:
     """Identifies the machine's current boot. If the system has no boot id, a random number is returned, so
     that no deduplication window is taken to be open across a restart of the process."""
     try:
@@ -68,7 +68,7 @@
 class Guard:
     """One request with an idempotency key, from admission to its end."""
 
-    __slots__ = ("keeper", "key", "rule", "call", "send", "timer", "over", "busy", "active_key")
+    __slots__ = ("keeper", "key", "rule", "call", "send", "timer", "finished", "busy", "active_key")
 
     def __init__(
         self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, send: Send
@@ -77,12 +77,12 @@
         self.call: ClientRequest | None = call
         self.busy, self.send = busy, send
         self.timer: TimerId | None = None
-        self.over = False  # answered, or its client left, while it waited for the store
+        self.finished = False  # answered, or its client left, while it waited for the store
         self.active_key: ActiveKey | None = None  # the key's active state, if this request owns it
 
     def ended(self, status: int, ran: bool) -> None:
         """The request has ended for its client. `ran`: an attempt may have run, or may still run."""
-        self.over = True
+        self.finished = True
         self.call = None
         self.keeper.ended(self, status, ran)
 
@@ -97,13 +97,13 @@
     def __init__(
         self,
         committer: Committer,
-        host: Hosted,
+        host: IdempotencyHost,
         cancel: Callable[[TimerId], None],
         boot: int | None = None,
         clock: Callable[[], int] = boot_ms,
     ) -> None:
         self.committer, self.host, self.cancel, self.clock = committer, host, cancel, clock
-        self.tracker = IdempotencyTracker(this_boot() if boot is None else boot)
+        self.tracker = IdempotencyTracker(boot_id() if boot is None else boot)
         self.rules: dict[str, Rule] = {}  # by class; requests of other classes are not recorded
         self.refused = 0  # requests shed because the store could not read or write in time
 
@@ -124,7 +124,7 @@
             guard.key, request_fingerprint, guard.rule, self.clock(), known
         )
         answer = self._apply_decision(guard, decision)
-        if answer is None and not guard.over and self._is_waiting(guard):
+        if answer is None and not guard.finished and self._is_waiting(guard):
             guard.timer = self.host.call_at(deadline, self._on_deadline, guard)
         return answer
 
@@ -180,7 +180,7 @@
                 effect = decode(found.value)
             except ValueError as error:
                 problem = StoreError(f"not an idempotency record: {error}")
-        if problem is not None or guard.over:
+        if problem is not None or guard.finished:
             if problem is not None:
                 log.error("an idempotency record cannot be read: %s", problem)
                 self.refused += 1
@@ -200,7 +200,7 @@
             self._answer(guard, self._intent_not_written(guard, decision, problem))
             return
         self.tracker.intent_durable(guard.key)
-        if guard.over:  # its client left or was already answered: never send it
+        if guard.finished:  # its client left or was already answered: never send it
             self._write_outcome(guard, Outcome.NEVER_RAN, 0)
         else:
             guard.send(self._since_earlier_ms(decision))
@@ -214,8 +214,8 @@
     def _answer(self, guard: Guard, answer: LocalReply) -> None:
         self._stop_timer(guard)
         call = guard.call
-        if call is not None and not guard.over:
-            guard.over = True
+        if call is not None and not guard.finished:
+            guard.finished = True
             call.client.answer(call, answer)
 
     def _stop_timer(self, guard: Guard) -> None:
--- a/tests/effects/test_keeper.py
+++ b/tests/effects/test_keeper.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from notchflow.effects.keeper import Guard, Keeper, this_boot
+from notchflow.effects.keeper import Guard, Keeper, boot_id
 from notchflow.effects.memory import Rule
 from notchflow.effects.record import Effect, Fate
 from notchflow.interface import Effect as Kind
@@ -220,4 +220,4 @@
 
 
 def test_the_boot_id_is_stable() -> None:
-    assert this_boot() == this_boot() != 0
+    assert boot_id() == boot_id() != 0
--- a/tests/state/test_database.py
+++ b/tests/state/test_database.py
@@ -93,9 +93,9 @@
     assert tmp_path.stat().st_mode & 0o077 in (0, 0o055), "an existing folder keeps its mode"
 
 
-def assert_rejected_unchanged(folder: Path, message: str) -> None:
+def assert_rejected_unchanged(folder: Path, why: str) -> None:
     before = {p.name: p.read_bytes() for p in folder.iterdir()}
-    with pytest.raises(StateError, match=message):
+    with pytest.raises(StateError, match=why):
         Database(folder)
     assert {p.name: p.read_bytes() for p in folder.iterdir() if p.name in before} == before
     assert (folder / FILE).exists()
--- a/tests/store/test_commit.py
+++ b/tests/store/test_commit.py
@@ -24,7 +24,7 @@
     return Change(Kind.PUT, b"k%d" % number, b"v" * size)
 
 
-def committer(files: RealFiles | FaultyFiles, **more: int) -> Committer:
+def make_committer(files: RealFiles | FaultyFiles, **more: int) -> Committer:
     engine = Engine(files, lambda: 1000, SMALL)
     return Committer(engine, asyncio.get_running_loop().call_soon_threadsafe, **more)
 
@@ -60,7 +60,7 @@
 def test_changes_submitted_during_a_sync_share_the_next_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         blocked, files = BlockedSync(monkeypatch), FaultyFiles()
-        store = committer(files)
+        store = make_committer(files)
         store.start()
         blocked.syncing.clear()
         blocked.go.clear()
@@ -86,7 +86,7 @@
 ) -> None:
     async def test() -> None:
         blocked, files = BlockedSync(monkeypatch), FaultyFiles()
-        store = committer(files, queue_bytes=2000)
+        store = make_committer(files, queue_bytes=2000)
         store.start()
         blocked.go.clear()
         waiting = [submitted(store, put(n, 400)) for n in range(4)]
@@ -110,7 +110,7 @@
 ) -> None:
     async def test() -> None:
         files = FaultyFiles()
-        store = committer(files)
+        store = make_committer(files)
         store.start()
         assert await submitted(store, put(0)) is None
         if state is StoreState.FULL:
@@ -133,7 +133,7 @@
 
 def test_a_failing_callback_does_not_affect_the_others() -> None:
     async def test() -> None:
-        store = committer(FaultyFiles())
+        store = make_committer(FaultyFiles())
         store.start()
 
         def failing(_: StoreError | None) -> None:
@@ -150,14 +150,14 @@
 
 def test_stop_commits_everything_queued_and_a_second_process_is_locked_out(tmp_path: Path) -> None:
     async def test() -> None:
-        store = committer(RealFiles(tmp_path / "s"))
+        store = make_committer(RealFiles(tmp_path / "s"))
         store.start()
         with pytest.raises(Locked, match="another process"):
-            committer(RealFiles(tmp_path / "s")).start()
+            make_committer(RealFiles(tmp_path / "s")).start()
         waiting = [submitted(store, put(n, 300)) for n in range(50)]
         await asyncio.to_thread(store.stop)
         assert await asyncio.gather(*waiting) == [None] * 50
-        again = committer(RealFiles(tmp_path / "s"))
+        again = make_committer(RealFiles(tmp_path / "s"))
         recovered = again.start()
         assert recovered.records == 50 and recovered.torn == 0
         again.stop()
@@ -167,7 +167,7 @@
 
 def test_maintenance_runs_under_load_and_while_idle() -> None:
     async def test() -> None:
-        store = committer(FaultyFiles())
+        store = make_committer(FaultyFiles())
         store.start()
         for n in range(400):
             assert await submitted(store, put(n % 10, 200)) is None
--- a/tests/store/test_index.py
+++ b/tests/store/test_index.py
@@ -64,7 +64,7 @@
     assert index.get(b"k") == entry(5)
 
 
-def columns(records: list[Record], segment: int) -> HintColumns:
+def hint_columns(records: list[Record], segment: int) -> HintColumns:
     found = HintColumns()
     for n, record in enumerate(records):
         found.add(segment, LocatedRecord(record, 24 + 10 * n, 10))
@@ -72,7 +72,7 @@
 
 
 def test_a_bulk_load_keeps_the_newest_record_of_each_key_and_honours_tombstones() -> None:
-    rng, lines = random.Random(2), []
+    rng, parts = random.Random(2), []
     model: dict[bytes, Record] = {}
     numbers = list(range(1, 5001))
     rng.shuffle(numbers)
@@ -84,9 +84,9 @@
             records.append(record)
             if record.key not in model or model[record.key].number < number:
                 model[record.key] = record
-        lines.append(columns(records, segment).entries())
+        parts.append(hint_columns(records, segment).entries())
     index = Index()
-    index.bulk_load(type(lines[0])(*(np.concatenate(c) for c in zip(*lines, strict=True))))
+    index.bulk_load(type(parts[0])(*(np.concatenate(c) for c in zip(*parts, strict=True))))
     expected = {k: r.number for k, r in model.items() if r.kind is Kind.PUT}
     assert len(index) == len(expected)
     for key, number in expected.items():
@@ -115,8 +115,8 @@
 
 
 def test_a_hint_that_is_corrupt_or_of_another_length_is_ignored() -> None:
-    made = columns([Record(1, Kind.PUT, b"a"), Record(2, Kind.DELETE, b"b")], 9)
-    data = encode(9, 500, made)
+    hint = hint_columns([Record(1, Kind.PUT, b"a"), Record(2, Kind.DELETE, b"b")], 9)
+    data = encode(9, 500, hint)
     found = decode(data, 9, 500)
     assert found is not None and found[0].number.tolist() == [1, 2] and found[1] == 10
     assert decode(data, 8, 500) is None and decode(data, 9, 501) is None and decode(data[:-1], 9, 500) is None
