--- a/notchflow/admin/__init__.py
+++ b/notchflow/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API: HTTP and JSON on a listener, a thread and limits of its own."""
+"""The administration API: HTTP and JSON on a separate listener, with its own thread and request limits."""
--- a/notchflow/admin/models.py
+++ b/notchflow/admin/models.py
@@ -1,4 +1,8 @@
-"""What the administration API takes and gives (its OpenAPI document is made from these)."""
+"""Request and response bodies of the administration API.
+
+The OpenAPI document is generated from these classes: their names, their docstrings and the descriptions of
+their fields are published in it. A class that is not described there has a comment instead of a docstring.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +16,19 @@
 from notchflow.tenancy.model import ApiKey, Limits, Tenant
 
 T = TypeVar("T")
-State = Literal["active", "suspended", "retiring", "gone"]
-Name = Annotated[str, Field(max_length=200, pattern=r"^[^\x00-\x1f\x7f]*$")]
-Expiry = Annotated[AwareDatetime, Field(strict=False)]
+TenantStateName = Literal["active", "suspended", "retiring", "gone"]
+DisplayName = Annotated[str, Field(max_length=200, pattern=r"^[^\x00-\x1f\x7f]*$")]
+ExpiryTime = Annotated[AwareDatetime, Field(strict=False)]
 
 
-def moment(at: float) -> datetime:
+def to_datetime(at: float) -> datetime:
+    """A UTC time, from seconds since the epoch."""
     return datetime.fromtimestamp(at, UTC)
 
 
-def moment_or_none(at: float | None) -> datetime | None:
-    return moment(at) if at is not None else None
+def to_datetime_or_none(at: float | None) -> datetime | None:
+    """Like `to_datetime`; None stays None."""
+    return to_datetime(at) if at is not None else None
 
 
 class Problem(BaseModel):
@@ -43,9 +49,10 @@
     next: str | None
 
 
-class TenantCreate(Strict):
+# Body of a request that creates a tenant.
+class TenantCreate(Strict):  # noqa: D101 - a docstring would be published in the OpenAPI document
     id: TenantId
-    name: Name = ""
+    name: DisplayName = ""
     limits: LimitsModel | None = None
     routes: list[RouteModel] | None = Field(None, max_length=64)
 
@@ -53,16 +60,17 @@
 class TenantPatch(Strict):
     """What is left out stays; limits or routes set to null are the operator's defaults again."""
 
-    name: Name = ""
+    name: DisplayName = ""
     state: Literal["active", "suspended"] = "active"
     limits: LimitsModel | None = None
     routes: list[RouteModel] | None = Field(None, max_length=64)
 
 
-class TenantView(BaseModel):
+# A tenant, as the API returns it.
+class TenantView(BaseModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     id: str
     name: str
-    state: State
+    state: TenantStateName
     limits: LimitsModel | None
     routes: list[RouteModel] | None
     version: int
@@ -71,6 +79,7 @@
 
     @classmethod
     def of(cls, tenant: Tenant) -> TenantView:
+        """The view of a stored tenant."""
         return cls(
             id=tenant.id,
             name=tenant.name,
@@ -78,8 +87,8 @@
             limits=LimitsModel.of(tenant.limits) if tenant.limits is not None else None,
             routes=[RouteModel.of(r) for r in tenant.routes] if tenant.routes is not None else None,
             version=tenant.version,
-            created_at=moment(tenant.created_at),
-            changed_at=moment(tenant.changed_at),
+            created_at=to_datetime(tenant.created_at),
+            changed_at=to_datetime(tenant.changed_at),
         )
 
 
@@ -91,6 +100,7 @@
 
     @classmethod
     def of(cls, tenant: Tenant, defaults: Limits) -> LimitsView:
+        """The limits of a stored tenant, or the defaults if it has none of its own."""
         return cls(limits=LimitsModel.of(tenant.limits or defaults), own=tenant.limits is not None)
 
 
@@ -118,12 +128,14 @@
     fleet: FleetUsage | None = Field(None, description="null where the instance is by itself")
 
 
-class KeyCreate(Strict):
-    label: Name = ""
-    expires_at: Expiry | None = None
+# Body of a request that issues a key.
+class KeyCreate(Strict):  # noqa: D101 - a docstring would be published in the OpenAPI document
+    label: DisplayName = ""
+    expires_at: ExpiryTime | None = None
 
 
-class KeyView(BaseModel):
+# A key without its secret text.
+class KeyView(BaseModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     id: str = Field(description="the key's public part: what stands between its underscores")
     label: str
     created_at: datetime
@@ -133,27 +145,31 @@
 
     @classmethod
     def of(cls, key: ApiKey, last_used_at: float | None = None) -> KeyView:
+        """The view of a stored key; `last_used_at` in seconds since the epoch."""
         return cls(
             id=key.id,
             label=key.label,
-            created_at=moment(key.created_at),
-            expires_at=moment_or_none(key.expires_at),
-            revoked_at=moment_or_none(key.revoked_at),
-            last_used_at=moment_or_none(last_used_at),
+            created_at=to_datetime(key.created_at),
+            expires_at=to_datetime_or_none(key.expires_at),
+            revoked_at=to_datetime_or_none(key.revoked_at),
+            last_used_at=to_datetime_or_none(last_used_at),
         )
 
 
-class KeyIssued(KeyView):
+# Response to a request that issues a key, with its secret text.
+class KeyIssued(KeyView):  # noqa: D101 - a docstring would be published in the OpenAPI document
     token: str | None = Field(description="the key itself, shown this once; null in a repeated answer")
 
 
-class TokenCreate(Strict):
-    label: Name = ""
+# Body of a request that issues a token for this API.
+class TokenCreate(Strict):  # noqa: D101 - a docstring would be published in the OpenAPI document
+    label: DisplayName = ""
     tenant: TenantId | None = Field(None, description="whose token it is; null: an operator's")
-    expires_at: Expiry | None = None
+    expires_at: ExpiryTime | None = None
 
 
-class TokenView(BaseModel):
+# A token without its secret text.
+class TokenView(BaseModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     id: str
     label: str
     tenant: str | None
@@ -163,21 +179,24 @@
 
     @classmethod
     def of(cls, token: Token) -> TokenView:
+        """The view of a stored token."""
         return cls(
             id=token.id,
             label=token.label,
             tenant=token.tenant,
-            created_at=moment(token.created_at),
-            expires_at=moment_or_none(token.expires_at),
-            revoked_at=moment_or_none(token.revoked_at),
+            created_at=to_datetime(token.created_at),
+            expires_at=to_datetime_or_none(token.expires_at),
+            revoked_at=to_datetime_or_none(token.revoked_at),
         )
 
 
-class TokenIssued(TokenView):
+# Response to a request that issues a token, with its secret text.
+class TokenIssued(TokenView):  # noqa: D101 - a docstring would be published in the OpenAPI document
     token: str | None = Field(description="the token itself, shown this once; null in a repeated answer")
 
 
-class BoxView(BaseModel):
+# A node, as this proxy sees it.
+class BoxView(BaseModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     id: str
     address: str
     state: Literal["ready", "draining", "gone"]
@@ -185,7 +204,8 @@
     changed_at: datetime = Field(description="when this proxy was told of the state")
 
 
-class Boxes(BaseModel):
+# All nodes; not paginated.
+class Boxes(BaseModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     items: list[BoxView]
 
 
@@ -300,9 +320,10 @@
 
     @classmethod
     def of(cls, event: AuditEvent) -> EventView:
+        """The view of a stored audit event."""
         return cls(
             seq=event.seq,
-            at=moment(event.at),
+            at=to_datetime(event.at),
             actor=event.actor,
             action=event.action,
             tenant=event.tenant,
--- a/notchflow/admin/operations.py
+++ b/notchflow/admin/operations.py
@@ -1,7 +1,8 @@
-"""What the administration API does, on the state alone: each change one transaction with its audit event.
+"""The operations of the administration API on the stored state. Each change is one transaction that includes
+its audit event.
 
-Blocking (SQLite), so it runs on a thread of its own. What a change means for the proxy comes back as values,
-for the caller to hand over.
+The code blocks (SQLite), so it runs on a dedicated thread. Values that the running proxy must apply are
+returned with the result of the change; the calling code passes them on.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from notchflow.tenancy.routes import faults as route_faults
 
 T = TypeVar("T")
-NO_TOKEN: Final = bytes(32)
-KEYS_MAX: Final = 100  # live keys of a tenant: rotation needs two
+UNKNOWN_TOKEN_DIGEST: Final = bytes(32)  # used in the comparison if no such token is stored
+MAX_KEYS: Final = 100  # usable keys of a tenant; rotation needs two
 
-Change = Tenant | ApiKey  # the new value of something that the proxy knows
+Change = Tenant | ApiKey  # a new value that the running proxy must apply
 
-TITLES: Final = {
+PROBLEM_TITLES: Final = {
     "unauthorized": "The token is not valid",
     "forbidden": "The token does not allow this",
     "not-found": "There is nothing here",
@@ -49,36 +50,37 @@
 
 
 class ApiProblem(Exception):
-    """An answer that is a problem (RFC 9457)."""
+    """An error response with problem details (RFC 9457)."""
 
     def __init__(
-        self, status: int, kind: str, detail: str, headers: Mapping[str, str] | None = None, **more: Any
+        self, status: int, kind: str, detail: str, headers: Mapping[str, str] | None = None, **extra: Any
     ) -> None:
         super().__init__(detail)
         self.status, self.kind, self.headers = status, kind, dict(headers or {})
         self.body = {
             "type": f"urn:notchflow:problem:{kind}",
-            "title": TITLES[kind],
+            "title": PROBLEM_TITLES[kind],
             "status": status,
             "detail": detail,
-        } | more
+        } | extra
 
 
 @dataclass(frozen=True, slots=True)
 class Actor:
-    """Who calls: an operator, or one tenant."""
+    """The authenticated client: an operator, or one tenant."""
 
     id: str
     tenant: str | None
 
     @property
     def name(self) -> str:
+        """The name in the audit log: `operator:ID` or `tenant:TENANT:ID`."""
         return f"{'tenant:' + self.tenant if self.tenant is not None else 'operator'}:{self.id}"
 
 
 @dataclass(frozen=True, slots=True)
 class Done(Generic[T]):
-    """A change that is on disk, and what the proxy must be told of."""
+    """The result of a committed change, and the values that the running proxy must apply."""
 
     result: T
     changes: tuple[Change, ...] = ()
@@ -86,124 +88,134 @@
 
 @dataclass(frozen=True, slots=True)
 class Defaults:
-    """What the operator file says, as far as the API needs it."""
+    """Values of the operator file that the API needs: the request classes and the default limits."""
 
     classes: tuple[str, ...]
     limits: Limits
 
 
 def etag(tenant: Tenant) -> str:
+    """The ETag of a tenant: its version, quoted."""
     return f'"{tenant.version}"'
 
 
 class Operations:
-    """The API's operations, on one thread."""
+    """The operations of the API; all run on one thread."""
 
-    def __init__(self, db: Database, defaults: Defaults, wall: Callable[[], float] = time.time) -> None:
-        self.db, self.defaults, self.wall = db, defaults, wall
+    def __init__(self, db: Database, defaults: Defaults, wall_clock: Callable[[], float] = time.time) -> None:
+        self.db, self.defaults, self.wall_clock = db, defaults, wall_clock
 
-    # -- who calls
+    # -- authentication and authorization
     def actor(self, token: str | None) -> Actor:
+        """Authenticates a bearer token. ApiProblem 401: it is missing, unknown, expired or revoked, or its
+        tenant is gone."""
         challenge = {"WWW-Authenticate": 'Bearer realm="notchflow-admin"'}
-        public = public_id(token, ADMIN) if token is not None else None
-        kept = self.db.token(public) if public is not None else None
-        same = matches(token or "", kept.digest if kept is not None else NO_TOKEN)
-        if kept is None or not same or not kept.usable(self.wall()):
+        token_id = public_id(token, ADMIN) if token is not None else None
+        stored_token = self.db.token(token_id) if token_id is not None else None
+        is_match = matches(
+            token or "", stored_token.digest if stored_token is not None else UNKNOWN_TOKEN_DIGEST
+        )
+        if stored_token is None or not is_match or not stored_token.usable(self.wall_clock()):
             raise ApiProblem(401, "unauthorized", "Send a valid token as Authorization: Bearer.", challenge)
-        if kept.tenant is not None:
-            of = self.db.tenant(kept.tenant)
-            if of is None or of.state is TenantState.GONE:
+        if stored_token.tenant is not None:
+            owner = self.db.tenant(stored_token.tenant)
+            if owner is None or owner.state is TenantState.GONE:
                 raise ApiProblem(
                     401, "unauthorized", "Send a valid token as Authorization: Bearer.", challenge
                 )
-        return Actor(kept.id, kept.tenant)
+        return Actor(stored_token.id, stored_token.tenant)
 
     @staticmethod
-    def operator(actor: Actor) -> None:
+    def require_operator(actor: Actor) -> None:
+        """ApiProblem 403 for a tenant's token."""
         if actor.tenant is not None:
             raise ApiProblem(403, "forbidden", "Only an operator's token may do this.")
 
-    def seen(self, actor: Actor, tenant: str) -> Tenant:
-        """A tenant that the caller may see; any other one is not there, whether it exists or not."""
+    def visible_tenant(self, actor: Actor, tenant: str) -> Tenant:
+        """A tenant that the actor may see. ApiProblem 404 for any other, so that a tenant cannot learn
+        whether another one exists."""
         found = self.db.tenant(tenant) if actor.tenant in (None, tenant) else None
         if found is None:
             raise ApiProblem(404, "not-found", "There is no such tenant.")
         return found
 
-    # -- repeats of a POST
-    def once(
+    # -- idempotent POST requests
+    def run_once(
         self,
         actor: Actor,
         key: str | None,
-        request: str,
-        view: Callable[[T], dict[str, Any]],
+        request_text: str,
+        to_json: Callable[[T], dict[str, Any]],
         secrets: tuple[str, ...],
-        run: Callable[[], Done[T]],
+        operation: Callable[[], Done[T]],
     ) -> Done[dict[str, Any]]:
-        """Runs a POST, or gives its earlier answer (without its secrets) to a repeat with the same key."""
-        fingerprint = hashlib.sha256(request.encode()).hexdigest()
-        earlier = self.db.answer(actor.id, key, self.wall()) if key is not None else None
-        if earlier is not None:
-            if earlier.fingerprint != fingerprint:
+        """Runs the operation of a POST request, or returns the stored response (without secrets) to a repeat
+        with the same Idempotency-Key. ApiProblem 422: the key was used for another request."""
+        fingerprint = hashlib.sha256(request_text.encode()).hexdigest()
+        stored = self.db.answer(actor.id, key, self.wall_clock()) if key is not None else None
+        if stored is not None:
+            if stored.fingerprint != fingerprint:
                 raise ApiProblem(422, "invalid", "Idempotency-Key was used for another request.")
-            return Done(json.loads(earlier.body))
+            return Done(json.loads(stored.body))
         with self.db.change():
-            done = run()
-            body = view(done.result)
+            done = operation()
+            body = to_json(done.result)
             if key is not None:
-                kept = body | {name: None for name in secrets}
+                public_body = body | {name: None for name in secrets}
                 self.db.put_answer(
-                    actor.id, key, self.wall(), StoredAnswer(fingerprint, 201, json.dumps(kept))
+                    actor.id, key, self.wall_clock(), StoredAnswer(fingerprint, 201, json.dumps(public_body))
                 )
         return Done(body, done.changes)
 
     # -- tenants
-    def tenants(self, actor: Actor, after: str, most: int, state: str | None) -> list[Tenant]:
+    def list_tenants(self, actor: Actor, after: str, limit: int, state: str | None) -> list[Tenant]:
+        """At most `limit` tenants with ids after `after`; a tenant's token sees only its own."""
         if actor.tenant is None:
-            return self.db.tenants(after, most, state)
-        own = self.seen(actor, actor.tenant)
+            return self.db.tenants(after, limit, state)
+        own = self.visible_tenant(actor, actor.tenant)
         return [own] if own.id > after and state in (None, own.state.value) else []
 
-    def create_tenant(self, actor: Actor, wanted: m.TenantCreate) -> Done[Tenant]:
-        """Inside `once`."""
-        now = self.wall()
-        if self.db.tenant(wanted.id) is not None:
-            raise ApiProblem(409, "exists", f"The id {wanted.id!r} is taken or was once; choose another.")
+    def create_tenant(self, actor: Actor, requested: m.TenantCreate) -> Done[Tenant]:
+        """Creates a tenant; runs in the transaction of `run_once`. ApiProblem 409: the id is in use or once
+        was."""
+        now = self.wall_clock()
+        if self.db.tenant(requested.id) is not None:
+            raise ApiProblem(409, "exists", f"The id {requested.id!r} is taken or was once; choose another.")
         tenant = Tenant(
-            wanted.id,
-            wanted.name,
-            limits=wanted.limits.core() if wanted.limits else None,
-            routes=self._routes(wanted.routes),
+            requested.id,
+            requested.name,
+            limits=requested.limits.core() if requested.limits else None,
+            routes=self._checked_routes(requested.routes),
             created_at=now,
             changed_at=now,
         )
         self.db.put_tenant(tenant)
-        self._audit(actor, "tenant.create", tenant.id, tenant.id, None, _plain(tenant))
+        self._audit(actor, "tenant.create", tenant.id, tenant.id, None, _tenant_json(tenant))
         return Done(tenant, (tenant,))
 
-    def _routes(self, routes: list[RouteModel] | None) -> tuple[Any, ...] | None:
+    def _checked_routes(self, routes: list[RouteModel] | None) -> tuple[Any, ...] | None:
         if routes is None:
             return None
-        core = tuple(r.core() for r in routes)
-        found = route_faults(core, self.defaults.classes)
-        if found:
+        converted = tuple(r.core() for r in routes)
+        faults = route_faults(converted, self.defaults.classes)
+        if faults:
             raise ApiProblem(
                 422,
                 "invalid",
                 "Routes are not valid.",
-                errors=[{"place": f"routes.{place}", "what": what} for place, what in found],
+                errors=[{"place": f"routes.{place}", "what": what} for place, what in faults],
             )
-        return core
+        return converted
 
     def change_tenant(
-        self, actor: Actor, tenant: str, if_match: str | None, action: str, change: Callable[[Tenant], Tenant]
+        self, actor: Actor, tenant: str, if_match: str | None, action: str, update: Callable[[Tenant], Tenant]
     ) -> Done[Tenant]:
-        """One change of a tenant, for whoever has seen its latest version."""
-        self.operator(actor)
+        """Changes a tenant if `if_match` names its current version. ApiProblem 409, 412 or 428."""
+        self.require_operator(actor)
         with self.db.change():
-            before = self.seen(actor, tenant)
-            self._match(before, if_match)
-            after = change(before)
+            before = self.visible_tenant(actor, tenant)
+            self._check_if_match(before, if_match)
+            after = update(before)
             if after == before:
                 return Done(before)
             if after.state is not before.state and after.state not in TRANSITIONS[before.state]:
@@ -214,16 +226,16 @@
                 )
             if before.state in (TenantState.RETIRING, TenantState.GONE):
                 raise ApiProblem(409, "conflict", f"A tenant that is {before.state.value} stays as it is.")
-            return self._store(actor, action, before, after)
+            return self._save_tenant(actor, action, before, after)
 
-    def _store(self, actor: Actor, action: str, before: Tenant, after: Tenant) -> Done[Tenant]:
-        after = replace(after, version=before.version + 1, changed_at=self.wall())
+    def _save_tenant(self, actor: Actor, action: str, before: Tenant, after: Tenant) -> Done[Tenant]:
+        after = replace(after, version=before.version + 1, changed_at=self.wall_clock())
         self.db.put_tenant(after)
-        self._audit(actor, action, after.id, after.id, _plain(before), _plain(after))
+        self._audit(actor, action, after.id, after.id, _tenant_json(before), _tenant_json(after))
         return Done(after, (after,))
 
     @staticmethod
-    def _match(tenant: Tenant, if_match: str | None) -> None:
+    def _check_if_match(tenant: Tenant, if_match: str | None) -> None:
         if if_match is None:
             raise ApiProblem(
                 428,
@@ -241,30 +253,33 @@
             )
 
     def patch_tenant(
-        self, actor: Actor, tenant: str, if_match: str | None, wanted: m.TenantPatch
+        self, actor: Actor, tenant: str, if_match: str | None, requested: m.TenantPatch
     ) -> Done[Tenant]:
-        given = wanted.model_fields_set
+        """Changes the fields that the request sets."""
+        given = requested.model_fields_set
 
-        def change(before: Tenant) -> Tenant:
-            changes: dict[str, Any] = {}
+        def update(before: Tenant) -> Tenant:
+            values: dict[str, Any] = {}
             if "name" in given:
-                changes["name"] = wanted.name
+                values["name"] = requested.name
             if "state" in given:
-                changes["state"] = TenantState(wanted.state)
+                values["state"] = TenantState(requested.state)
             if "limits" in given:
-                changes["limits"] = wanted.limits.core() if wanted.limits is not None else None
+                values["limits"] = requested.limits.core() if requested.limits is not None else None
             if "routes" in given:
-                changes["routes"] = self._routes(wanted.routes)
-            return replace(before, **changes)
+                values["routes"] = self._checked_routes(requested.routes)
+            return replace(before, **values)
 
-        return self.change_tenant(actor, tenant, if_match, "tenant.change", change)
+        return self.change_tenant(actor, tenant, if_match, "tenant.change", update)
 
     def set_limits(self, actor: Actor, tenant: str, if_match: str | None, limits: Limits) -> Done[Tenant]:
+        """Sets the limits of a tenant."""
         return self.change_tenant(
             actor, tenant, if_match, "tenant.limits", lambda before: replace(before, limits=limits)
         )
 
     def retire_tenant(self, actor: Actor, tenant: str, if_match: str | None) -> Done[Tenant]:
+        """Starts the retirement of a tenant: its open requests end, then `finish_retirement` follows."""
         return self.change_tenant(
             actor,
             tenant,
@@ -274,34 +289,51 @@
         )
 
     def finish_retirement(self, tenant: str) -> Done[Tenant | None]:
-        """The proxy has nothing of a retiring tenant's in hand any more: it is gone, and so are its keys."""
+        """Marks a retiring tenant as gone and revokes its keys, once the proxy has no open requests of it.
+        The result is None if the tenant is not retiring."""
         with self.db.change():
             before = self.db.tenant(tenant)
             if before is None or before.state is not TenantState.RETIRING:
                 return Done(None)
-            now = self.wall()
+            now = self.wall_clock()
             after = retired(before, now)
             self.db.put_tenant(after)
             for key, _ in self.db.keys(tenant):
                 if key.revoked_at is None:
                     self.db.put_key(replace(key, revoked_at=now))
-            self._audit(Actor("service", None), "tenant.gone", tenant, tenant, _plain(before), _plain(after))
+            self._audit(
+                Actor("service", None),
+                "tenant.gone",
+                tenant,
+                tenant,
+                _tenant_json(before),
+                _tenant_json(after),
+            )
             return Done(after, (after,))
 
     # -- keys
-    def keys(self, actor: Actor, tenant: str, after: str, most: int) -> list[tuple[ApiKey, float | None]]:
-        return self.db.keys(self.seen(actor, tenant).id, after, most)
-
-    def issue_key(self, actor: Actor, tenant: str, wanted: m.KeyCreate) -> Done[tuple[ApiKey, str]]:
-        """Inside `once`."""
-        found, now = self.seen(actor, tenant), self.wall()
-        if found.state in (TenantState.RETIRING, TenantState.GONE):
-            raise ApiProblem(409, "conflict", f"A tenant that is {found.state.value} gets no keys.")
-        if sum(k.usable(now) for k, _ in self.db.keys(tenant)) >= KEYS_MAX:
-            raise ApiProblem(409, "conflict", f"A tenant has at most {KEYS_MAX} keys; revoke one first.")
+    def list_keys(
+        self, actor: Actor, tenant: str, after: str, limit: int
+    ) -> list[tuple[ApiKey, float | None]]:
+        """Keys of a tenant, each with the time of its last use (s since the epoch; None: never)."""
+        return self.db.keys(self.visible_tenant(actor, tenant).id, after, limit)
+
+    def issue_key(self, actor: Actor, tenant: str, requested: m.KeyCreate) -> Done[tuple[ApiKey, str]]:
+        """Creates a key; runs in the transaction of `run_once`. Returns the key and its secret text.
+        ApiProblem 409: the tenant is retiring or gone, or has `MAX_KEYS` keys already."""
+        owner, now = self.visible_tenant(actor, tenant), self.wall_clock()
+        if owner.state in (TenantState.RETIRING, TenantState.GONE):
+            raise ApiProblem(409, "conflict", f"A tenant that is {owner.state.value} gets no keys.")
+        if sum(k.usable(now) for k, _ in self.db.keys(tenant)) >= MAX_KEYS:
+            raise ApiProblem(409, "conflict", f"A tenant has at most {MAX_KEYS} keys; revoke one first.")
         minted = mint(KEY)
         key = ApiKey(
-            minted.id, tenant, minted.digest, wanted.label, now, self._expiry(wanted.expires_at, now)
+            minted.id,
+            tenant,
+            minted.digest,
+            requested.label,
+            now,
+            self._expiry_seconds(requested.expires_at, now),
         )
         self.db.put_key(key)
         self._audit(
@@ -310,11 +342,11 @@
         return Done((key, minted.token), (key,))
 
     @staticmethod
-    def _expiry(at: Any, now: float) -> float | None:
-        if at is None:
+    def _expiry_seconds(expires_at: Any, now: float) -> float | None:
+        if expires_at is None:
             return None
         try:
-            seconds = float(at.timestamp())
+            seconds = float(expires_at.timestamp())
         except (OverflowError, ValueError):
             seconds = 0.0
         if seconds <= now:
@@ -322,72 +354,82 @@
         return seconds
 
     def revoke_key(self, actor: Actor, tenant: str, key: str) -> Done[None]:
+        """Revokes a key of a tenant; repeating it has no further effect."""
         with self.db.change():
-            self.seen(actor, tenant)
+            self.visible_tenant(actor, tenant)
             found = self.db.key(key)
             if found is None or found.tenant != tenant:
                 raise ApiProblem(404, "not-found", "There is no such key.")
             if found.revoked_at is not None:
                 return Done(None, (found,))
-            after = replace(found, revoked_at=self.wall())
+            after = replace(found, revoked_at=self.wall_clock())
             self.db.put_key(after)
             self._audit(actor, "key.revoke", tenant, key, {"label": found.label}, None)
             return Done(None, (after,))
 
     # -- tokens
-    def tokens(self, actor: Actor, after: str, most: int) -> list[Token]:
-        self.operator(actor)
-        return self.db.tokens(after, most)
-
-    def issue_token(self, actor: Actor, wanted: m.TokenCreate) -> Done[tuple[Token, str]]:
-        """Inside `once`."""
-        self.operator(actor)
-        if wanted.tenant is not None:
-            of = self.db.tenant(wanted.tenant)
-            if of is None or of.state is TenantState.GONE:
+    def list_tokens(self, actor: Actor, after: str, limit: int) -> list[Token]:
+        """At most `limit` tokens with ids after `after`; for operators."""
+        self.require_operator(actor)
+        return self.db.tokens(after, limit)
+
+    def issue_token(self, actor: Actor, requested: m.TokenCreate) -> Done[tuple[Token, str]]:
+        """Creates a token for this API; runs in the transaction of `run_once`. Returns the token and its
+        secret text. ApiProblem 404: there is no such tenant."""
+        self.require_operator(actor)
+        if requested.tenant is not None:
+            owner = self.db.tenant(requested.tenant)
+            if owner is None or owner.state is TenantState.GONE:
                 raise ApiProblem(404, "not-found", "There is no such tenant.")
-        now, minted = self.wall(), mint(ADMIN)
+        now, minted = self.wall_clock(), mint(ADMIN)
         token = Token(
-            minted.id, wanted.tenant, minted.digest, wanted.label, now, self._expiry(wanted.expires_at, now)
+            minted.id,
+            requested.tenant,
+            minted.digest,
+            requested.label,
+            now,
+            self._expiry_seconds(requested.expires_at, now),
         )
         self.db.put_token(token)
-        self._audit(actor, "token.issue", wanted.tenant, token.id, None, {"label": token.label})
+        self._audit(actor, "token.issue", requested.tenant, token.id, None, {"label": token.label})
         return Done((token, minted.token))
 
     def revoke_token(self, actor: Actor, token: str) -> Done[None]:
-        self.operator(actor)
+        """Revokes a token. ApiProblem 409: it is the token of this request."""
+        self.require_operator(actor)
         with self.db.change():
             found = self.db.token(token)
             if found is None:
                 raise ApiProblem(404, "not-found", "There is no such token.")
             if found.revoked_at is None:
-                if token == actor.id:  # else the last one could lock everybody out
+                if token == actor.id:  # otherwise revoking the last token would lock everybody out
                     raise ApiProblem(409, "conflict", "A token cannot revoke itself; use another one.")
-                self.db.put_token(replace(found, revoked_at=self.wall()))
+                self.db.put_token(replace(found, revoked_at=self.wall_clock()))
                 self._audit(actor, "token.revoke", found.tenant, token, {"label": found.label}, None)
             return Done(None)
 
     def first_token(self) -> str | None:
-        """An operator's token, where there is none that works: else nobody could ever call. Before a fleet
-        has agreed on a state, or by a process alone."""
-        now = self.wall()
+        """Creates an operator's token if none is usable, since otherwise nobody could call the API. Returns
+        its secret text, or None. For a single instance, or before a fleet has agreed on its first state."""
+        now = self.wall_clock()
         if any(t.tenant is None and t.usable(now) for t in self.db.tokens()):
             return None
         with self.db.change():
             return self.issue_token(Actor("service", None), m.TokenCreate(label="first")).result[1]
 
-    # -- the proxy itself
-    def duty_changed(self, actor: Actor, before: str, after: str) -> Done[None]:
-        """Notes that an operator has sent clients away, or wants them again."""
+    # -- the running proxy
+    def record_phase_change(self, actor: Actor, before: str, after: str) -> Done[None]:
+        """Writes to the audit log that an operator has changed the phase of the proxy."""
         with self.db.change():
             self._audit(actor, f"proxy.{after}", None, "proxy", {"phase": before}, {"phase": after})
             return Done(None)
 
     # -- the audit log
-    def events(self, actor: Actor, after: int, most: int, tenant: str | None) -> list[AuditEvent]:
+    def list_events(self, actor: Actor, after: int, limit: int, tenant: str | None) -> list[AuditEvent]:
+        """At most `limit` audit events after a sequence number; a tenant's token sees only its own."""
         if actor.tenant is not None and tenant not in (None, actor.tenant):
             raise ApiProblem(404, "not-found", "There is no such tenant.")
-        return self.db.events(after, most, actor.tenant or tenant)
+        return self.db.events(after, limit, actor.tenant or tenant)
 
     def _audit(
         self,
@@ -398,8 +440,8 @@
         before: Mapping[str, Any] | None,
         after: Mapping[str, Any] | None,
     ) -> None:
-        self.db.add_event(self.wall(), actor.name, action, tenant, target, before, after)
+        self.db.add_event(self.wall_clock(), actor.name, action, tenant, target, before, after)
 
 
-def _plain(tenant: Tenant) -> dict[str, Any]:
+def _tenant_json(tenant: Tenant) -> dict[str, Any]:
     return m.TenantView.of(tenant).model_dump(mode="json", by_alias=True)
