--- a/notchflow/admin/server.py
+++ b/notchflow/admin/server.py
@@ -1,7 +1,7 @@
-"""The administration listener: a thread and a loop of its own, and bounds on what a caller may take of both.
+"""The administration listener: a separate thread and event loop, and limits on what a client may use.
 
-Nothing of it runs on the proxy's loop. What it needs of the proxy goes over as one call for that loop's next
-turn; what it writes to disk is written on the state's thread.
+Nothing here runs on the event loop of the proxy. What is needed from the proxy is scheduled as one call on
+the next iteration of that loop; writes to disk are made on the thread of the state.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from notchflow.tenancy.problems import whole_seconds
 
 log = logging.getLogger(__name__)
-CALLERS_MAX: Final = 1024  # callers whose rate is remembered; the longest silent is forgotten
-KEEP_ALIVE_S: Final = 5
-STOP_S: Final = 3.0
+MAX_BUCKETS: Final = 1024  # addresses with a rate bucket; the least recently used one is dropped
+KEEP_ALIVE_TIMEOUT_S: Final = 5
+SHUTDOWN_TIMEOUT_S: Final = 3.0
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -39,8 +39,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a caller may take: octets of a head and a body, seconds for a request, requests a second (by its
-    address, before its token is looked at), connections in all."""
+    """What a client may use: bytes of a request head and of a body, seconds to receive each of them, requests
+    per second (by address, before its token is checked), and connections of all clients together."""
 
     head_max: int = 16 << 10
     body_max: int = 64 << 10
@@ -50,64 +50,67 @@
     connections: int = 64
 
 
-class Bounded:
-    """Holds each request to its bounds before the application sees it."""
+class RequestLimiter:
+    """ASGI middleware that enforces the limits on each request before the application sees it."""
 
-    def __init__(self, app: App, bounds: Bounds, now: Callable[[], float] = time.monotonic) -> None:
-        self.app, self.bounds, self.now = app, bounds, now
-        self.callers: OrderedDict[str, Bucket] = OrderedDict()
+    def __init__(self, app: App, bounds: Bounds, clock: Callable[[], float] = time.monotonic) -> None:
+        self.app, self.bounds, self.clock = app, bounds, clock
+        self.buckets: OrderedDict[str, Bucket] = OrderedDict()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Handles one ASGI connection scope; other types than `http` are ignored."""
         if scope["type"] != "http":
             return
-        wait = self._wait((scope.get("client") or ("", 0))[0])
-        if wait > 0:
-            await _problem(
+        wait_s = self._retry_after_s((scope.get("client") or ("", 0))[0])
+        if wait_s > 0:
+            await _send_problem(
                 send,
                 ApiProblem(
                     429,
                     "too-many",
                     "Too many calls from this address.",
-                    {"Retry-After": str(whole_seconds(wait))},
+                    {"Retry-After": str(whole_seconds(wait_s))},
                 ),
             )
             return
-        begun = False
+        response_started = False
 
-        async def noting(message: Message) -> None:
-            nonlocal begun
-            begun = True
+        async def tracking_send(message: Message) -> None:
+            nonlocal response_started
+            response_started = True
             await send(message)
 
         try:
             async with asyncio.timeout(self.bounds.timeout_s):
-                body = await self._body(scope, receive)
-            # From here on it runs to its end: what it changes is answered for, whoever waits.
-            await self.app(scope, _replay(body, receive), noting)
+                body = await self._read_body(scope, receive)
+            # No timeout from here on: a change that has begun runs to its end and is answered.
+            await self.app(scope, _replay(body, receive), tracking_send)
         except TimeoutError:
-            if not begun:
-                await _problem(
+            if not response_started:
+                await _send_problem(
                     send,
-                    ApiProblem(408, "too-slow", f"A request has {self.bounds.timeout_s:g} s to come.", CLOSE),
+                    ApiProblem(
+                        408, "too-slow", f"A request has {self.bounds.timeout_s:g} s to come.", CLOSE_HEADER
+                    ),
                 )
         except ApiProblem as error:
-            await _problem(send, error)
+            await _send_problem(send, error)
         except ConnectionError:
-            pass  # the caller left while its body came
-
-    def _wait(self, caller: str) -> float:
-        now, bounds = self.now(), self.bounds
-        bucket = self.callers.pop(caller, None) or Bucket(bounds.burst, now)
-        self.callers[caller] = bucket
-        if len(self.callers) > CALLERS_MAX:
-            self.callers.popitem(last=False)
+            pass  # the client disconnected while it sent the body
+
+    def _retry_after_s(self, address: str) -> float:
+        now, bounds = self.clock(), self.bounds
+        bucket = self.buckets.pop(address, None) or Bucket(bounds.burst, now)
+        self.buckets[address] = bucket
+        if len(self.buckets) > MAX_BUCKETS:
+            self.buckets.popitem(last=False)
         return bucket.take(now, bounds.rate_per_s, bounds.burst)
 
-    async def _body(self, scope: Scope, receive: Receive) -> bytes:
+    async def _read_body(self, scope: Scope, receive: Receive) -> bytes:
         limit = self.bounds.body_max
-        stated = next((v for k, v in scope["headers"] if k == b"content-length"), b"0")
+        content_length = next((v for k, v in scope["headers"] if k == b"content-length"), b"0")
         parts: list[bytes] = []
-        size = int(stated) if stated.isdigit() and int(stated) > limit else 0
+        size = int(content_length) if content_length.isdigit() and int(content_length) > limit else 0
         while size <= limit:
             message = await receive()
             if message["type"] != "http.request":
@@ -116,77 +119,79 @@
             size += len(parts[-1])
             if not message.get("more_body") and size <= limit:
                 return b"".join(parts)
-        raise ApiProblem(413, "too-large", f"A body has at most {limit} bytes.", CLOSE)
+        raise ApiProblem(413, "too-large", f"A body has at most {limit} bytes.", CLOSE_HEADER)
 
 
-CLOSE: Final = {"Connection": "close"}
+CLOSE_HEADER: Final = {"Connection": "close"}
 
 
 def _replay(body: bytes, receive: Receive) -> Receive:
-    given = False
+    """A `receive` that first gives the body that was read already."""
+    replayed = False
 
     async def replay() -> Message:
-        nonlocal given
-        if given:
+        nonlocal replayed
+        if replayed:
             return await receive()
-        given = True
+        replayed = True
         return {"type": "http.request", "body": body, "more_body": False}
 
     return replay
 
 
-async def _problem(send: Send, error: ApiProblem) -> None:
+async def _send_problem(send: Send, error: ApiProblem) -> None:
     headers = [(b"content-type", b"application/problem+json")]
     headers += [(k.lower().encode(), v.encode()) for k, v in error.headers.items()]
     await send({"type": "http.response.start", "status": error.status, "headers": headers})
     await send({"type": "http.response.body", "body": json.dumps(error.body).encode()})
 
 
-def protocol(bounds: Bounds) -> type[H11Protocol]:
-    """The server's protocol with a bound on how long a head may take, which the server itself lacks: a caller
-    that trickles its head would hold a connection for good."""
+def protocol_class(bounds: Bounds) -> type[H11Protocol]:
+    """uvicorn's protocol with a timeout for the request head, which uvicorn lacks: a client that sends its
+    head very slowly could hold a connection forever."""
 
-    class Patient(H11Protocol):
-        late: asyncio.TimerHandle | None = None
+    class HeadTimeoutProtocol(H11Protocol):
+        head_timer: asyncio.TimerHandle | None = None
 
         def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
             super().connection_made(transport)
             if len(self.connections) > bounds.connections:
-                transport.close()  # before a word: the server's own refusal is none that the document knows
+                transport.close()  # closed without a response: uvicorn's own is not in the OpenAPI document
                 return
-            self._expect_head()
+            self._start_head_timer()
 
         def data_received(self, data: bytes) -> None:
             super().data_received(data)
             if self.conn.their_state is h11.IDLE:
-                self._expect_head()
-            elif self.late is not None:
-                self.late.cancel()
-                self.late = None
+                self._start_head_timer()
+            elif self.head_timer is not None:
+                self.head_timer.cancel()
+                self.head_timer = None
 
-        def _expect_head(self) -> None:
-            if self.late is None:
-                self.late = self.loop.call_later(bounds.timeout_s, self._too_late)
+        def _start_head_timer(self) -> None:
+            if self.head_timer is None:
+                self.head_timer = self.loop.call_later(bounds.timeout_s, self._on_head_timeout)
 
-        def _too_late(self) -> None:
-            self.late = None
+        def _on_head_timeout(self) -> None:
+            self.head_timer = None
             if self.conn.their_state is h11.IDLE and not self.transport.is_closing():
                 self.transport.close()
 
         def connection_lost(self, exc: Exception | None) -> None:
-            if self.late is not None:
-                self.late.cancel()
-                self.late = None
+            if self.head_timer is not None:
+                self.head_timer.cancel()
+                self.head_timer = None
             super().connection_lost(exc)
 
-    return Patient
+    return HeadTimeoutProtocol
 
 
 class AdminServer:
-    """The API on its listener. `start` returns when it answers; `stop` when it is at rest."""
+    """The API on its listener. `start` returns once its loop runs, `stop` once its thread has ended or
+    `SHUTDOWN_TIMEOUT_S` and 2 s have passed."""
 
     def __init__(self, app: App, address: tuple[str, int], bounds: Bounds) -> None:
-        self.bounded = Bounded(app, bounds)
+        self.bounded = RequestLimiter(app, bounds)
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -198,7 +203,7 @@
         self.port = int(self.socket.getsockname()[1])
         config = uvicorn.Config(
             self.bounded,
-            http=protocol(bounds),
+            http=protocol_class(bounds),
             ws="none",
             lifespan="off",
             loop="asyncio",
@@ -207,50 +212,52 @@
             server_header=False,
             proxy_headers=False,
             h11_max_incomplete_event_size=bounds.head_max,
-            timeout_keep_alive=KEEP_ALIVE_S,
-            timeout_graceful_shutdown=int(STOP_S),
+            timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
+            timeout_graceful_shutdown=int(SHUTDOWN_TIMEOUT_S),
         )
         self.server = uvicorn.Server(config)
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self._run, name="admin", daemon=True)
-        self.up = threading.Event()
+        self.loop_running = threading.Event()
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def _run(self) -> None:
         asyncio.set_event_loop(self.loop)
-        self.loop.call_soon(self.up.set)
+        self.loop.call_soon(self.loop_running.set)
         try:
             self.loop.run_until_complete(self.server.serve(sockets=[self.socket]))
         except Exception:
-            log.exception("the administration listener ended")
+            log.exception("the administration listener failed")
         finally:
             self.loop.close()
 
     def start(self) -> None:
+        """Starts the thread and waits until its loop runs."""
         self.thread.start()
-        self.up.wait()
+        self.loop_running.wait()
 
-    def spawn(self, work: Callable[[], Awaitable[Any]]) -> None:
-        """Runs something on this thread's loop, from any thread; a failure of it is logged."""
+    def spawn(self, function: Callable[[], Awaitable[Any]]) -> None:
+        """Runs a coroutine function on the loop of this listener, from any thread. A failure is logged."""
 
         async def run() -> None:
             try:
-                await work()
+                await function()
             except Exception:
-                log.exception("work of the administration failed")
+                log.exception("an administration task failed")
 
-        def begin() -> None:
+        def create_task() -> None:
             task = self.loop.create_task(run())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
         try:
-            self.loop.call_soon_threadsafe(begin)
+            self.loop.call_soon_threadsafe(create_task)
         except RuntimeError:
-            log.info("the administration has ended: what came after is done at the next start")
+            log.info("the administration listener has stopped; the task is left to the next start")
 
     def stop(self) -> None:
+        """Stops the server, waits for the thread and closes the socket."""
         self.server.should_exit = True
-        if self.thread.ident is not None:  # else the start failed before
-            self.thread.join(STOP_S + 2.0)
+        if self.thread.ident is not None:  # None if the start failed earlier
+            self.thread.join(SHUTDOWN_TIMEOUT_S + 2.0)
         self.socket.close()
