--- a/notchflow/faults/__init__.py
+++ b/notchflow/faults/__init__.py
@@ -1,5 +1,5 @@
-"""Faults between real processes of a fleet: schedules, the rig that plays them, checks of what came of it.
+"""Fault injection for a fleet of real processes: schedules, the rig that plays them, checks of the histories.
 
-Nothing of the service imports this: the program has no fault switches. Links break in the relays of
-`standins/relay.py`, processes by signals, folders by the hand of the rig.
+The service imports nothing from here and has no fault switches of its own: the relays of `standins/relay.py`
+break links, signals stop processes, and the rig changes state folders.
 """
--- a/notchflow/faults/command.py
+++ b/notchflow/faults/command.py
@@ -18,17 +18,18 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="notchflow fleet", description=__doc__)
-    calls = made.add_subparsers(dest="call", required=True)
-    up = calls.add_parser("up", help="start N instances with stand-in boxes and a small load, on loopback")
+    """The options of `notchflow fleet`."""
+    root = argparse.ArgumentParser(prog="notchflow fleet", description=__doc__)
+    commands = root.add_subparsers(dest="call", required=True)
+    up = commands.add_parser("up", help="start N instances with stand-in boxes and a small load, on loopback")
     up.add_argument("count", type=int, metavar="N")
     up.add_argument("--folder", type=Path, help="keep files, state and histories there")
     up.add_argument("--seconds", type=float, default=0.0, help="end after so long (default: at Ctrl-C)")
     up.add_argument("--rate", type=float, default=60.0, help="requests a second in all (default: 60)")
     up.add_argument("--plain", action="store_true", help="lines instead of a live table")
-    check = calls.add_parser("check", help="check a schedule of faults and tell all that is wrong at once")
+    check = commands.add_parser("check", help="check a schedule of faults and tell all that is wrong at once")
     check.add_argument("file", type=Path)
-    faults = calls.add_parser("faults", help="play schedules of faults on real processes, and judge them")
+    faults = commands.add_parser("faults", help="play schedules of faults on real processes, and judge them")
     faults.add_argument("file", type=Path, nargs="?", help="a schedule; without it they are drawn")
     faults.add_argument("--seed", type=int, default=1, help="of the first that is drawn (default: 1)")
     faults.add_argument("--plays", type=int, default=1, help="how many are drawn (default: 1)")
@@ -37,11 +38,11 @@
     faults.add_argument("--rate", type=float, default=20.0, help="requests a second at each (default: 20)")
     faults.add_argument("--folder", type=Path, help="keep what was played there")
     faults.add_argument("--shrink", action="store_true", help="shorten a schedule that fails")
-    return made
+    return root
 
 
 def main(arguments: Sequence[str]) -> int:
-    """0: all held; 1: a rule was broken; 2: the words or the file are off."""
+    """Runs the command. Exit status 0: all rules held; 1: a rule was violated; 2: invalid options or file."""
     options = parser().parse_args(arguments)
     if options.call == "up":
         from notchflow.hosting.fleet_up import up
@@ -52,7 +53,7 @@
             load(options.file)
             print(f"{options.file}: valid")
             return 0
-        plans = _plans(options)
+        plans = _schedules(options)
     except FileFaults as error:
         print(error, file=sys.stderr)
         return 2
@@ -63,7 +64,7 @@
         return 1
 
 
-def _plans(options: argparse.Namespace) -> list[Schedule]:
+def _schedules(options: argparse.Namespace) -> list[Schedule]:
     if options.file is not None:
         return [load(options.file)]
     if not 2 <= options.instances <= 16 or options.seconds < 1 or options.plays < 1:
@@ -86,15 +87,15 @@
         root = options.folder or Path(scratch)
         for plan in plans:
             folder = root / f"seed-{plan.seed}"
-            outcome = await _one(folder, plan, options.rate)
-            print(_line(plan, outcome), flush=True)
+            outcome = await _play_one(folder, plan, options.rate)
+            print(_summary_line(plan, outcome), flush=True)
             if outcome.broken:
                 failed += 1
                 await _explain(folder, plan, outcome, options)
     return int(failed > 0)
 
 
-async def _one(folder: Path, plan: Schedule, rate: float) -> Outcome:
+async def _play_one(folder: Path, plan: Schedule, rate: float) -> Outcome:
     folder.mkdir(parents=True, exist_ok=False)
     (folder / "schedule.toml").write_text(plan.toml())
     outcome = await Rig(folder, plan, rate).play()
@@ -103,29 +104,29 @@
 
 
 async def _explain(folder: Path, plan: Schedule, outcome: Outcome, options: argparse.Namespace) -> None:
-    """A failed play: what broke, and the shortest part of its schedule that still fails."""
-    for broken in outcome.broken[:10]:
-        print(f"  {broken}")
+    """Prints the violations of a failed play, and with `--shrink` the shortest schedule that still fails."""
+    for violation in outcome.broken[:10]:
+        print(f"  {violation}")
     if not options.shrink:
         print(plan.toml())
         return
-    tries = 0
+    attempts = 0
 
     async def fails(shorter: Schedule) -> bool:
-        nonlocal tries
-        tries += 1
-        return bool((await _one(folder / f"try-{tries}", shorter, options.rate)).broken)
+        nonlocal attempts
+        attempts += 1
+        return bool((await _play_one(folder / f"try-{attempts}", shorter, options.rate)).broken)
 
     shortest, played = await shrink(plan, fails)
     print(f"  after {played} plays the shortest that still fails:")
     print(shortest.toml())
 
 
-def _line(plan: Schedule, outcome: Outcome) -> str:
+def _summary_line(plan: Schedule, outcome: Outcome) -> str:
     kinds = ", ".join(fault.kind for fault in plan.faults)
-    took = "never" if outcome.agreed_ms is None else f"{outcome.agreed_ms:.0f} ms"
+    convergence = "never" if outcome.agreed_ms is None else f"{outcome.agreed_ms:.0f} ms"
     verdict = f"{len(outcome.broken)} rules broken" if outcome.broken else "held"
     return (
         f"seed {plan.seed}: {verdict}; {plan.instances} instances, {outcome.asked} requests, views equal "
-        f"{took} after the end; faults: {kinds}"
+        f"{convergence} after the end; faults: {kinds}"
     )
--- a/notchflow/faults/shrink.py
+++ b/notchflow/faults/shrink.py
@@ -1,5 +1,5 @@
-"""The shortest part of a schedule that still fails: delta debugging over its faults (Zeller and Hildebrandt,
-IEEE TSE 2002, ddmin), then over their lengths."""
+"""Minimizes a failing schedule: delta debugging over its faults (ddmin; Zeller and Hildebrandt,
+IEEE TSE 2002), then over their durations."""
 
 from __future__ import annotations
 
@@ -11,48 +11,53 @@
 Fails = Callable[[Schedule], Awaitable[bool]]
 
 
-async def shrink(schedule: Schedule, fails: Fails, tries: int = 60) -> tuple[Schedule, int]:
-    """A schedule of as few faults as still fail, each as short as still does; and how many were played. What
-    fails now and then only may come out longer than it need be, never as one that did not fail."""
-    played = 0
+async def shrink(schedule: Schedule, fails: Fails, max_plays: int = 60) -> tuple[Schedule, int]:
+    """Returns a schedule with as few and as short faults as still fail, and the number of plays. A schedule
+    that fails only at times may come out longer than necessary, but never as one that did not fail."""
+    plays = 0
 
-    async def still(faults: Sequence[Any]) -> bool:
-        nonlocal played
-        if played >= tries:
+    async def still_fails(faults: Sequence[Any]) -> bool:
+        nonlocal plays
+        if plays >= max_plays:
             return False
-        played += 1
+        plays += 1
         return await fails(schedule.with_faults(faults))
 
-    faults = await _fewest(list(schedule.faults), still)
-    faults = await _shortest(faults, still)
-    return schedule.with_faults(faults), played
+    faults = await _minimize_faults(list(schedule.faults), still_fails)
+    faults = await _minimize_durations(faults, still_fails)
+    return schedule.with_faults(faults), plays
 
 
-async def _fewest(faults: list[Any], still: Callable[[Sequence[Any]], Awaitable[bool]]) -> list[Any]:
+async def _minimize_faults(
+    faults: list[Any], still_fails: Callable[[Sequence[Any]], Awaitable[bool]]
+) -> list[Any]:
+    """Removes ever smaller parts of the list while the rest still fails (ddmin)."""
     parts = 2
     while len(faults) >= 2:
-        size = -(-len(faults) // parts)
-        for start in range(0, len(faults), size):
-            rest = faults[:start] + faults[start + size :]
-            if await still(rest):
-                faults, parts = rest, max(parts - 1, 2)
+        chunk_size = -(-len(faults) // parts)
+        for start in range(0, len(faults), chunk_size):
+            remaining = faults[:start] + faults[start + chunk_size :]
+            if await still_fails(remaining):
+                faults, parts = remaining, max(parts - 1, 2)
                 break
         else:
             if parts >= len(faults):
                 break
             parts = min(parts * 2, len(faults))
-    if len(faults) == 1 and await still([]):
+    if len(faults) == 1 and await still_fails([]):
         return []
     return faults
 
 
-async def _shortest(faults: list[Any], still: Callable[[Sequence[Any]], Awaitable[bool]]) -> list[Any]:
-    """Halves each length as long as that still fails."""
-    for place, fault in enumerate(faults):
+async def _minimize_durations(
+    faults: list[Any], still_fails: Callable[[Sequence[Any]], Awaitable[bool]]
+) -> list[Any]:
+    """Halves each duration while the schedule still fails."""
+    for index, fault in enumerate(faults):
         while fault.for_s > 0.1:
             shorter = fault.model_copy(update={"for_s": round(fault.for_s / 2, 3)})
-            if not await still([*faults[:place], shorter, *faults[place + 1 :]]):
+            if not await still_fails([*faults[:index], shorter, *faults[index + 1 :]]):
                 break
             fault = shorter
-            faults = [*faults[:place], shorter, *faults[place + 1 :]]
+            faults = [*faults[:index], shorter, *faults[index + 1 :]]
     return faults
--- a/notchflow/faults/versions.py
+++ b/notchflow/faults/versions.py
@@ -1,5 +1,4 @@
-"""What must hold of administration in a merged history. Knows calls, answers and the bound, nothing of the
-code.
+"""Invariants of administrative calls in a merged history. They depend on calls, answers and the bound alone.
 
 `calling` {id, instance, kind, state?} and `called` {id, status, version?, state?, name?} of an operator;
 `asking` and `answer` {id, instance, status} of the tenant's clients.
@@ -12,18 +11,18 @@
 from typing import Any, Final
 
 from notchflow.cluster.histories import HistoryLine
-from notchflow.faults.checks import MS, Broken
+from notchflow.faults.checks import NS_PER_MS, Violation
 
 NEVER: Final = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of the administration. `ended` of one that was not answered is never: it may come to hold."""
+    """One administrative call. Without an answer `ended` is NEVER: it may still take effect at any time."""
 
     id: int
     kind: str
-    wanted: str
+    requested_state: str
     begun: int
     ended: int
     status: int
@@ -32,7 +31,8 @@
     name: str
 
 
-def calls(lines: Sequence[HistoryLine]) -> list[Call]:
+def administrative_calls(lines: Sequence[HistoryLine]) -> list[Call]:
+    """The administrative calls of a history, in the order in which they began."""
     ends = {line["id"]: line for line in lines if line["what"] == "called"}
     found = []
     for line in lines:
@@ -55,79 +55,84 @@
     return found
 
 
-def linearizable(lines: Sequence[HistoryLine]) -> list[Broken]:
-    """A tenant's versions are the order of all calls: what began after another had ended saw its version, or
-    made a later one; no version is two calls', and what is read under one is what its call wrote."""
-    done = [call for call in calls(lines) if call.status == 200]
-    broken = []
-    made: dict[int, Call] = {}
+def check_linearizable(lines: Sequence[HistoryLine]) -> list[Violation]:
+    """A tenant's versions order all calls: a call that began after another had ended saw that call's version
+    or a newer one, a change made a newer one; no two calls made the same version; a read returns what the
+    call that made its version wrote."""
+    done = [call for call in administrative_calls(lines) if call.status == 200]
+    violations = []
+    created_by: dict[int, Call] = {}
     for call in done:
         if call.kind == "change":
-            if call.version in made:
-                broken.append(
-                    Broken(
+            if call.version in created_by:
+                violations.append(
+                    Violation(
                         "linearizable",
                         call.ended,
-                        f"calls {made[call.version].id} and " f"{call.id} both made version {call.version}",
+                        f"calls {created_by[call.version].id} and "
+                        f"{call.id} both made version {call.version}",
                     )
                 )
-            made[call.version] = call
+            created_by[call.version] = call
     ended = sorted(done, key=lambda one: one.ended)
-    newest, place = 0, 0
+    newest, index = 0, 0
     for call in sorted(done, key=lambda one: one.begun):
-        while place < len(ended) and ended[place].ended < call.begun:
-            newest = max(newest, ended[place].version)
-            place += 1
+        while index < len(ended) and ended[index].ended < call.begun:
+            newest = max(newest, ended[index].version)
+            index += 1
         if call.version < newest or call.kind == "change" and call.version <= newest:
-            broken.append(
-                Broken(
+            violations.append(
+                Violation(
                     "linearizable",
                     call.ended,
                     f"{call.kind} {call.id} was told version " f"{call.version}, after {newest} had been",
                 )
             )
-        maker = made.get(call.version)
-        if maker is not None and (call.name, call.state) != (maker.name, maker.state):
-            broken.append(
-                Broken(
+        creator = created_by.get(call.version)
+        if creator is not None and (call.name, call.state) != (creator.name, creator.state):
+            violations.append(
+                Violation(
                     "linearizable",
                     call.ended,
                     f"{call.kind} {call.id} saw {call.name!r} as "
-                    f"version {call.version}, which call {maker.id} wrote as {maker.name!r}",
+                    f"version {call.version}, which call {creator.id} wrote as {creator.name!r}",
                 )
             )
-    return broken
+    return violations
 
 
-def contradictions(lines: Sequence[HistoryLine]) -> list[tuple[int, float, str]]:
-    """For each answer of 200 that was asked for while the tenant was suspended for certain: when, how long
-    (ms) after the suspension was known to hold, and by whom. Certain is from when a call for it had ended up
-    to when the next call that could end it began."""
-    known = sorted(calls(lines), key=lambda one: one.begun)
-    spans: list[tuple[int, int]] = []
+def served_while_suspended(lines: Sequence[HistoryLine]) -> list[tuple[int, float, str]]:
+    """Requests that were answered with 200 although they were sent while the tenant was certainly suspended:
+    the time they were sent, how long (ms) the suspension had been in force, and the instance. A suspension is
+    certain from the end of the call that made it to the start of the next call that could lift it."""
+    known = sorted(administrative_calls(lines), key=lambda one: one.begun)
+    suspensions: list[tuple[int, int]] = []
     for call in known:
         if call.status == 200 and call.state == "suspended":
             after = [
                 c.begun
                 for c in known
-                if c.kind == "change" and c.id != call.id and c.wanted == "active" and c.ended > call.begun
+                if c.kind == "change"
+                and c.id != call.id
+                and c.requested_state == "active"
+                and c.ended > call.begun
             ]
-            spans.append((call.ended, min(after, default=NEVER)))
+            suspensions.append((call.ended, min(after, default=NEVER)))
     asked = {line["id"]: line["t"] for line in lines if line["what"] == "asking"}
     found = []
     for line in lines:
         if line["what"] == "answer" and line["status"] == 200 and line["id"] in asked:
             at = asked[line["id"]]
-            late = [(at - begun) / MS for begun, end in spans if begun <= at < end]
-            if late:
-                found.append((at, max(late), line["instance"]))
+            elapsed_ms = [(at - begun) / NS_PER_MS for begun, end in suspensions if begun <= at < end]
+            if elapsed_ms:
+                found.append((at, max(elapsed_ms), line["instance"]))
     return found
 
 
-def suspended_in_time(lines: Sequence[HistoryLine], bound_ms: float, slack_ms: float) -> list[Broken]:
-    """Nobody serves a tenant for longer than the bound after it was told that it is suspended."""
+def check_suspensions(lines: Sequence[HistoryLine], bound_ms: float, slack_ms: float) -> list[Violation]:
+    """No instance serves a tenant for longer than the bound after its suspension was acknowledged."""
     return [
-        Broken("suspended-in-time", at, f"{who} served a tenant {ms:.0f} ms after it was suspended")
-        for at, ms, who in contradictions(lines)
+        Violation("suspended-in-time", at, f"{instance} served a tenant {ms:.0f} ms after it was suspended")
+        for at, ms, instance in served_while_suspended(lines)
         if ms > bound_ms + slack_ms
     ]
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the proxy, on loopback: boxes, discovery and clients under load.
+"""Test doubles for the proxy's environment, on loopback: nodes, discovery, relays and clients.
 
-Shared by tests, benchmarks and the demo. Nothing here is imported by the proxy itself.
+Shared by tests, benchmarks and the demo. The proxy itself imports nothing from here.
 """
--- a/standins/box.py
+++ b/standins/box.py
@@ -1,4 +1,4 @@
-"""A stand-in cache box: HTTP/1.1 over loopback, some cores, a queue, and a count of what it executed."""
+"""A stand-in cache node: HTTP/1.1 over loopback, with cores, a queue and a count of executed requests."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from standins.holds import no_hold
+from standins.stalls import no_stall
 
-BACKLOG = 1_024  # a proxy that starts may dial as often as it has clients
-QUEUE_MAX = 512  # requests waiting for a core; more are turned away, as a box does
+BACKLOG = 1_024  # a proxy that starts may open one connection for each client
+QUEUE_MAX = 512  # requests waiting for a core; more are rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What a box costs: seconds of a core for a request (0: answered at once), cores, bytes of an answer, and
-    the share of requests that it turns away unheard."""
+    """A node's capacity: seconds of a core for each request (0: answered at once), the number of cores, bytes
+    of an answer's body, and the fraction of requests that it rejects without running them."""
 
     seconds: float = 0.0
     cores: int = 2
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Execution:
-    """One request as the box ran it."""
+    """A request that the node ran."""
 
     method: str
     path: str
@@ -39,14 +39,14 @@
 
 
 class Box:
-    """One box. `executions` counts each (method, path, Idempotency-Key or X-Call-Id) that it ran."""
+    """A stand-in node. `executions` counts each (method, path, Idempotency-Key or X-Call-Id) that it ran."""
 
     def __init__(self, name: str, work: Work | None = None) -> None:
         self.name, self.work = name, work or Work()
         self.executions: Counter[tuple[str, str, str]] = Counter()
         self.watch: Callable[[Execution, dict[bytes, bytes], bytes], None] | None = None
-        self.heard: Callable[[str], None] | None = None  # told the X-Call-Id of each request that has come
-        self.hold: Callable[[str], None] = no_hold
+        self.heard: Callable[[str], None] | None = None  # called with the X-Call-Id of each request
+        self.hold: Callable[[str], None] = no_stall
         self.busy = 0
         self.queue: deque[Callable[[], None]] = deque()
         self.open: set[asyncio.Transport] = set()
@@ -54,79 +54,83 @@
         self.port = 0
         self.draining = False
         self.body = b"x" * self.work.body
-        self.fields = b"X-Hit: hit\r\nX-Box: %b\r\n" % name.encode()
+        self.answer_headers = b"X-Hit: hit\r\nX-Box: %b\r\n" % name.encode()
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> None:
-        self.server = await self.loop.create_server(lambda: _Peer(self), "127.0.0.1", port, backlog=BACKLOG)
+        """Listens on this port, or on a free one."""
+        self.server = await self.loop.create_server(
+            lambda: _ServerConnection(self), "127.0.0.1", port, backlog=BACKLOG
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
+        """Its host and port."""
         return f"127.0.0.1:{self.port}"
 
     def stop(self) -> None:
-        """As when the process dies: connections are reset, new ones refused."""
+        """Acts like a process that dies: connections are reset, new ones refused."""
         if self.server is not None:
             self.server.close()
             self.server = None
         self.reset()
 
     def reset(self) -> None:
-        """Resets all its connections."""
+        """Resets all open connections."""
         for transport in list(self.open):
             transport.abort()
 
     def fails(self) -> bool:
-        """Whether this request is one of those turned away; the same ones every time."""
+        """Whether to reject the next request; the sequence depends on the node's name alone."""
         return self.work.failing > 0 and self.random.random() < self.work.failing
 
     def admit(self, run: Callable[[], None]) -> bool:
-        """Takes work for a core, now or from the queue; false where the queue is full."""
+        """Runs work on a core, at once or after queueing; false if the queue is full."""
         if self.busy < self.work.cores:
             self.busy += 1
-            self.loop.call_later(self.work.seconds, self._done, run)
+            self.loop.call_later(self.work.seconds, self._finish, run)
             return True
         if len(self.queue) >= QUEUE_MAX:
             return False
         self.queue.append(run)
         return True
 
-    def _done(self, run: Callable[[], None]) -> None:
+    def _finish(self, run: Callable[[], None]) -> None:
         run()
         if self.queue:
-            self.loop.call_later(self.work.seconds, self._done, self.queue.popleft())
+            self.loop.call_later(self.work.seconds, self._finish, self.queue.popleft())
         else:
             self.busy -= 1
 
 
-class _Peer(asyncio.Protocol):
-    """A proxy's connection to the box; one request at a time."""
+class _ServerConnection(asyncio.Protocol):
+    """A proxy's connection to the node, with one request at a time."""
 
-    def __init__(self, box: Box) -> None:
-        self.box = box
+    def __init__(self, node: Box) -> None:
+        self.node = node
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.url = b""
-        self.fields: dict[bytes, bytes] = {}
+        self.headers: dict[bytes, bytes] = {}
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.box.server is None:  # accepted just before the stop, which did not see it
+        if self.node.server is None:  # accepted just before stop(), which did not see it
             self.transport.abort()
             return
-        self.box.open.add(self.transport)
-        self.box.hold("accepted")
+        self.node.open.add(self.transport)
+        self.node.hold("accepted")
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.transport is not None:
-            self.box.open.discard(self.transport)
+            self.node.open.discard(self.transport)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        self.box.hold("before a node reads")
+        self.node.hold("before a node reads")
         try:
             self.parser.feed_data(data)
         except HttpParserError:
@@ -134,41 +138,41 @@
                 self.transport.close()
 
     def on_message_begin(self) -> None:
-        self.url, self.fields, self.body = b"", {}, b""
+        self.url, self.headers, self.body = b"", {}, b""
 
     def on_url(self, url: bytes) -> None:
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.fields[name.lower()] = value
+        self.headers[name.lower()] = value
 
     def on_body(self, data: bytes) -> None:
         self.body += data
 
     def on_message_complete(self) -> None:
         method = self.parser.get_method()
-        url, fields, body = self.url, self.fields, self.body
-        if self.box.heard is not None:
-            self.box.heard(fields.get(b"x-call-id", b"").decode("latin-1"))
-        if self.box.draining or self.box.fails():
+        url, headers, body = self.url, self.headers, self.body
+        if self.node.heard is not None:
+            self.node.heard(headers.get(b"x-call-id", b"").decode("latin-1"))
+        if self.node.draining or self.node.fails():
             self._write(b"503 Service Unavailable", b"X-Rejected: 1\r\n", b"")
-        elif b"x-call-id" not in fields:
+        elif b"x-call-id" not in headers:
             self._write(b"404 Not Found", b"", b"")
-        elif self.box.work.seconds <= 0:
-            self._run(method, url, fields, body)
-        elif not self.box.admit(lambda: self._run(method, url, fields, body)):
+        elif self.node.work.seconds <= 0:
+            self._run(method, url, headers, body)
+        elif not self.node.admit(lambda: self._run(method, url, headers, body)):
             self._write(b"503 Service Unavailable", b"X-Rejected: 1\r\n", b"")
 
-    def _run(self, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        box, key = self.box, fields.get(b"idempotency-key")
-        call = fields[b"x-call-id"].decode("latin-1")
-        text = key.decode("latin-1") if key is not None else None
-        if box.watch is not None or method != b"GET":
-            done = Execution(method.decode(), url.decode("latin-1"), text, call)
-            box.executions[done.method, done.path, text or call] += 1
-            if box.watch is not None:
-                box.watch(done, fields, body)
-        self._write(b"200 OK", box.fields, box.body)
+    def _run(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
+        node, key = self.node, headers.get(b"idempotency-key")
+        call_id = headers[b"x-call-id"].decode("latin-1")
+        key_text = key.decode("latin-1") if key is not None else None
+        if node.watch is not None or method != b"GET":
+            execution = Execution(method.decode(), url.decode("latin-1"), key_text, call_id)
+            node.executions[execution.method, execution.path, key_text or call_id] += 1
+            if node.watch is not None:
+                node.watch(execution, headers, body)
+        self._write(b"200 OK", node.answer_headers, node.body)
 
     def _write(self, status: bytes, extra: bytes, body: bytes) -> None:
         if self.transport is not None:
--- a/standins/connections.py
+++ b/standins/connections.py
@@ -1,4 +1,4 @@
-"""What a stand-in client records of each connection, so that a lost request tells who ended it, and when."""
+"""Records of stand-in clients' connections, to show who ended that of a lost request, and when."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class End(Enum):
-    """How a connection ended, as its client saw it."""
+    """How a connection ended, as seen by its client."""
 
     OPEN = "open"
     BY_PEER = "by peer"  # the other side closed it
@@ -21,9 +21,9 @@
 
 @dataclass(slots=True)
 class ConnectionRecord:
-    """One connection; times are seconds on the machine's monotonic clock, NEVER where nothing came of it.
+    """A connection. Times are seconds of the machine's monotonic clock, or NEVER.
 
-    `port` is the client's own: the other side's log names the connection by it.
+    `port` is the client's port, by which the logs of the other side identify the connection.
     """
 
     port: int
@@ -37,23 +37,23 @@
     end: End = End.OPEN
 
     def sent(self) -> None:
-        """A request goes out."""
+        """Notes that a request is sent."""
         self.requests += 1
         self.last_sent_at = time.monotonic()
         self.first_sent_at = self.first_sent_at or self.last_sent_at
 
     def received(self) -> None:
-        """Bytes of an answer have been read."""
+        """Notes that bytes of an answer were read."""
         self.last_received_at = time.monotonic()
         self.first_received_at = self.first_received_at or self.last_received_at
 
     def ended(self, end: End) -> None:
-        """It is over; the first to say so is right."""
+        """Notes the end of the connection; only the first call counts."""
         if self.end is End.OPEN:
             self.ended_at, self.end = time.monotonic(), end
 
     def fields(self) -> dict[str, Any]:
-        """As a history shows it: milliseconds from the opening."""
+        """The record as a history shows it: times in milliseconds since the connection opened."""
         shown = asdict(self) | {"end": self.end.value}
         for name, value in shown.items():
             if name.endswith("_at") and name != "opened_at":
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery: the list of boxes, whole or as a watch on changes (the platform's protocol)."""
+"""A stand-in discovery service: the list of nodes, in full or as a watch (the platform's protocol)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def member(name: str, host_port: str, **changes: Any) -> dict[str, Any]:
-    """A box as discovery lists it."""
+    """A node's entry in the list; `changes` override its fields."""
     return {
         "id": name,
         "host_port": host_port,
@@ -24,85 +24,88 @@
 
 
 class Registry:
-    """Answers `GET /registry/instances` with the list, and its watch once something newer is there."""
+    """Answers `GET /registry/instances` with the list, and a watch as soon as there is a newer revision."""
 
     def __init__(self) -> None:
         self.revision = 1
         self.members: dict[str, tuple[int, dict[str, Any]]] = {}
-        self.told: dict[str, float] = {}  # loop time at which a box's last phase was written to a watcher
+        self.told: dict[str, float] = {}  # loop time at which a node's last entry was written
         self.changed = asyncio.Condition()
         self.port = 0
         self.calls = 0
         self.written = 0  # bytes of answers
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
-        self.silent: set[asyncio.StreamWriter] = set()  # on these nothing is said any more
+        self.silent: set[asyncio.StreamWriter] = set()  # connections that get no more answers
         self.up = asyncio.Event()
         self.up.set()
 
     @property
     def address(self) -> str:
+        """Its host and port."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
+        """Listens on a free port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
+        """Closes the listener and resets all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
         self.reset()
 
     def silence(self) -> int:
-        """All that is open now is never answered; how many connections that is."""
+        """Never answers again on the connections that are open now. Returns their number."""
         self.silent |= self.writers
         return len(self.writers)
 
     def reset(self) -> None:
-        """Breaks all that is open."""
+        """Resets all open connections."""
         for writer in self.writers:
             writer.transport.abort()
 
     async def put(self, entry: Mapping[str, Any]) -> None:
-        """Adds or changes a box; watchers are told."""
+        """Adds or replaces a node's entry, and wakes the watches."""
         async with self.changed:
             self.revision += 1
             self.members[entry["id"]] = self.revision, dict(entry)
             self.changed.notify_all()
 
     async def phase(self, name: str, phase: str) -> None:
-        """Changes the phase of a box: up, draining or removed."""
+        """Changes the phase of a node: up, draining or removed."""
         await self.put(self.members[name][1] | {"phase": phase})
 
     def listing(self, index: int | None) -> dict[str, Any]:
-        """The whole list, or what is newer than a revision."""
-        whole = index is None or index > self.revision
-        since = 0 if index is None or whole else index
+        """The full list, or the entries that are newer than a revision."""
+        complete = index is None or index > self.revision
+        after_revision = 0 if index is None or complete else index
         entries = [
             e
             for revision, e in self.members.values()
-            if revision > since and not (whole and e["phase"] == "removed")
+            if revision > after_revision and not (complete and e["phase"] == "removed")
         ]
-        return {"revision": self.revision, "complete": whole, "members": entries}
+        return {"revision": self.revision, "complete": complete, "members": entries}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.server is None:  # accepted just before the stop, which did not see it
+        if self.server is None:  # accepted just before stop(), which did not see it
             writer.transport.abort()
             return
         self.writers.add(writer)
         try:
-            while line := (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n", 1)[0]:
+            while request_line := (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n", 1)[0]:
                 self.calls += 1
-                query = parse_qs(urlsplit(line.split()[1].decode()).query)
+                query = parse_qs(urlsplit(request_line.split()[1].decode()).query)
                 index = int(query["index"][0]) if "index" in query else None
                 if index is not None:
                     await self._wait(index, int(query.get("wait", ["0"])[0]) / 1e3)
                 await self.up.wait()
                 if writer.is_closing():
-                    return  # who asked has gone meanwhile
+                    return  # the client has left meanwhile
                 if writer in self.silent:
-                    await reader.read()  # until who asked has given it up
+                    await reader.read()  # until the client gives up
                     return
                 listing = self.listing(index)
                 body = json.dumps(listing).encode()
@@ -111,7 +114,7 @@
                 now = asyncio.get_running_loop().time()
                 self.told.update({e["id"]: now for e in listing["members"]})
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the proxy left, or the stand-in ends
+            pass  # the proxy has left, or the stand-in stops
         finally:
             self.writers.discard(writer)
             self.silent.discard(writer)
--- a/standins/faulty_files.py
+++ b/standins/faulty_files.py
@@ -1,11 +1,12 @@
-"""A folder in memory that fails as disks do: what was not synced is torn, reordered or lost with the power.
+"""An in-memory folder that fails like a disk: a power cut tears, reorders or loses what was not synced.
 
-Stands in for `notchflow.store.files.Files`. Nothing here knows of the store. What a power cut may leave:
+Stands in for `notchflow.store.files.Files`, and does not depend on the store. A power cut may leave:
 
-- of bytes written since a file's last sync, any set of 512-byte sectors, the rest zeros or what was there
-before; - of names made, renamed and removed since the folder's last sync, any of them, each done or not;
-- after a sync that failed, nothing of what it was to make durable, whatever is synced later (the kernel has
-marked the pages clean).
+- of bytes written since a file's last sync, any set of 512-byte sectors; the others hold zeros or their old
+content;
+- of names created, renamed and removed since the folder's last sync, any subset of these changes;
+- after a failed sync, nothing of what it should have made durable, even if later syncs succeed (the kernel
+has marked the pages clean).
 """
 
 from __future__ import annotations
@@ -20,19 +21,20 @@
 
 
 class PowerCut(BaseException):
-    """The power is gone in the middle of an operation."""
+    """The power fails in the middle of an operation."""
 
 
 @dataclass(slots=True)
 class Inode:
-    """A file's bytes, as they are seen and as they are on the disk, and the writes between."""
+    """A file's bytes as readers see them and as they are on the disk, and the writes in between."""
 
     seen: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
-    writes: list[tuple[int, bytes]] = field(default_factory=list)  # a truncation: offset, and no bytes
-    doomed: bool = False  # a sync has failed
+    writes: list[tuple[int, bytes]] = field(default_factory=list)  # a truncation has its offset and no bytes
+    sync_failed: bool = False  # a sync has failed
 
     def after_cut(self, rng: random.Random) -> bytes:
+        """The content after a power cut."""
         data = bytearray(self.durable)
         torn = rng.random() < 0.5
         for offset, written in self.writes:
@@ -57,6 +59,7 @@
         self.folder, self.inode = folder, inode
 
     def append(self, data: bytes) -> None:
+        """Appends bytes; where there is no room for all, as many as fit, and ENOSPC."""
         room = self.folder.operation("append", len(data))
         written, inode = data[:room], self.inode
         if written:
@@ -66,34 +69,39 @@
             raise OSError(errno.ENOSPC, "no space left")
 
     def read(self, offset: int, size: int) -> bytes:
+        """At most `size` bytes from `offset` on."""
         return bytes(self.inode.seen[offset : offset + size])
 
     def size(self) -> int:
+        """The file's size in bytes."""
         return len(self.inode.seen)
 
     def truncate(self, size: int) -> None:
+        """Cuts the file to this size."""
         self.folder.operation("truncate")
         self.inode.writes.append((size, b""))
         del self.inode.seen[size:]
 
     def sync(self) -> None:
+        """Makes the file's bytes durable, unless a sync has failed before."""
         inode = self.inode
         try:
             self.folder.operation("sync")
         except OSError:
-            inode.doomed = True
+            inode.sync_failed = True
             raise
-        if not inode.doomed:
+        if not inode.sync_failed:
             inode.durable = bytes(inode.seen)
             inode.writes.clear()
 
     def close(self) -> None:
+        """Does nothing."""
         pass
 
 
 class FaultyFiles:
-    """The folder. `cut_at`: the power goes in the operation of this number, counted from 1. `errors`:
-    operation number to errno. `capacity`: bytes that all files together may have."""
+    """The folder. `cut_at`: number of the operation, counted from 1, in which the power fails. `errors`:
+    errno by operation number. `capacity`: total bytes of all files."""
 
     def __init__(
         self,
@@ -105,28 +113,30 @@
         self.cut_at, self.errors, self.capacity = cut_at, errors or {}, capacity
         self.rng = random.Random(seed)
         self.operations = 0
-        self.kinds: list[str] = []  # of each operation, for tests that aim at one
+        self.kinds: list[str] = []  # kind of each operation, for tests that choose one
         self.files: dict[str, Inode] = {}
         self.durable: dict[str, Inode] = {}
         self.changes: list[tuple[str, str, Inode | None]] = []
         self.locked = False
 
     def operation(self, kind: str, size: int = 0) -> int:
-        """Counts an operation that changes something; how many of its bytes there is room for."""
+        """Counts an operation that changes something. Returns how many of its `size` bytes fit."""
         self.operations += 1
         self.kinds.append(kind)
         if self.operations == self.cut_at:
             raise PowerCut(f"in operation {self.operations}, {kind}")
         if self.operations in self.errors:
-            raise OSError(self.errors[self.operations], "as told")
+            raise OSError(self.errors[self.operations], "injected error")
         if self.capacity is None:
             return size
         return max(min(size, self.capacity - sum(len(i.seen) for i in self.files.values())), 0)
 
     def names(self) -> list[str]:
+        """The names of all files, sorted."""
         return sorted(self.files)
 
     def create(self, name: str) -> File:
+        """A new, empty file."""
         if name in self.files:
             raise FileExistsError(errno.EEXIST, name)
         self.operation("create")
@@ -135,40 +145,46 @@
         return FaultyFile(self, self.files[name])
 
     def open(self, name: str) -> File:
+        """An existing file."""
         if name not in self.files:
             raise FileNotFoundError(errno.ENOENT, name)
         return FaultyFile(self, self.files[name])
 
     def rename(self, old: str, new: str) -> None:
+        """Renames a file, and replaces one of the new name."""
         self.operation("rename")
         self.files[new] = inode = self.files.pop(old)
         self.changes.append(("rename", f"{old}/{new}", inode))
 
     def remove(self, name: str) -> None:
+        """Removes a file."""
         self.operation("remove")
         del self.files[name]
         self.changes.append(("unlink", name, None))
 
     def sync_folder(self) -> None:
+        """Makes created, renamed and removed names durable."""
         self.operation("sync_folder")
         self.durable = dict(self.files)
         self.changes.clear()
 
     def lock(self) -> None:
+        """Locks the folder; Locked if it is locked already."""
         if self.locked:
             raise Locked("another process has this store open")
         self.locked = True
 
     def unlock(self) -> None:
+        """Releases the lock."""
         self.locked = False
 
     def after_cut(self, seed: int) -> FaultyFiles:
-        """The folder as it is found once the power is back."""
+        """The folder as found after a power cut."""
         rng = random.Random(seed)
         names = dict(self.durable)
-        share = rng.choice([0.0, 0.5, 1.0])
+        probability = rng.choice([0.0, 0.5, 1.0])
         for what, name, inode in self.changes:
-            if rng.random() >= share:
+            if rng.random() >= probability:
                 continue
             if what == "link" and inode is not None:
                 names[name] = inode
@@ -190,7 +206,7 @@
         return found
 
     def copy(self) -> FaultyFiles:
-        """The same bytes, all of them durable, without faults."""
+        """A copy without faults whose bytes are all durable."""
         found = FaultyFiles()
         found.files = {n: Inode(bytearray(i.seen), bytes(i.seen)) for n, i in self.files.items()}
         found.durable = dict(found.files)
--- a/standins/forwarder.py
+++ b/standins/forwarder.py
@@ -1,8 +1,8 @@
-"""A bare forwarder: the floor that a proxy on the same loop and parsers can come near to.
+"""A bare forwarder: a lower bound for the cost of a proxy on the same event loop and parsers.
 
-It parses both sides with httptools, to know where each message ends and whether its connection stays, and
-passes on the bytes as they came: to the boxes in turn, one request a connection at a time. It decides
-nothing, times nothing out, retries nothing and answers nothing itself: a lost box closes the client.
+It parses both sides with httptools, to find where each message ends and whether the connection stays open,
+and forwards the bytes unchanged: to the nodes in turn, one request at a time on each connection. It has no
+policy, timeouts, retries or answers of its own: if a node's connection is lost, it closes the client's.
 `python -m standins.forwarder PORT HOST:PORT...` runs one.
 """
 
@@ -19,16 +19,16 @@
 BACKLOG = 1_024
 
 
-class _Upstream(asyncio.Protocol):
-    """A connection to a box."""
+class _NodeConnection(asyncio.Protocol):
+    """A connection to a node."""
 
-    def __init__(self, pool: list[_Upstream]) -> None:
+    def __init__(self, pool: list[_NodeConnection]) -> None:
         self.pool = pool
         self.parser = HttpResponseParser(self)
-        self.client: _Client | None = None
+        self.client: _ClientConnection | None = None
         self.transport: asyncio.Transport | None = None
-        self.fields: dict[bytes, bytes] = {}
-        self.whole = False
+        self.headers: dict[bytes, bytes] = {}
+        self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -41,25 +41,25 @@
             self.client.transport.close()
 
     def on_message_begin(self) -> None:
-        self.fields = {}
+        self.headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.fields[name] = value
+        self.headers[name] = value
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed_data(data)
         client = self.client
         if client is not None and client.transport is not None:
             client.transport.write(data)
-        if self.whole:
-            self.whole, self.client = False, None
+        if self.complete:
+            self.complete, self.client = False, None
             self.pool.append(self)
 
 
-class _Client(asyncio.Protocol):
+class _ClientConnection(asyncio.Protocol):
     """A client's connection."""
 
     def __init__(self, forwarder: Forwarder) -> None:
@@ -67,9 +67,9 @@
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.url = b""
-        self.fields: dict[bytes, bytes] = {}
+        self.headers: dict[bytes, bytes] = {}
         self.data: list[bytes] = []
-        self.whole = False
+        self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -78,35 +78,36 @@
         self.transport = None
 
     def on_message_begin(self) -> None:
-        self.fields = {}
+        self.headers = {}
 
     def on_url(self, url: bytes) -> None:
         self.url = url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.fields[name] = value
+        self.headers[name] = value
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed_data(data)
         self.data.append(data)
-        if self.whole:
-            self.whole, whole, self.data = False, self.data, []
-            self.forwarder.forward(self, whole)
+        if self.complete:
+            self.complete, parts, self.data = False, self.data, []
+            self.forwarder.forward(self, parts)
 
 
 class Forwarder:
-    """The boxes, each with its idle connections."""
+    """The nodes, each with its pool of idle connections."""
 
-    def __init__(self, boxes: list[tuple[str, int]]) -> None:
-        self.pools: list[tuple[tuple[str, int], list[_Upstream]]] = [(address, []) for address in boxes]
-        self.turn = itertools.cycle(self.pools)
+    def __init__(self, nodes: list[tuple[str, int]]) -> None:
+        self.pools: list[tuple[tuple[str, int], list[_NodeConnection]]] = [(address, []) for address in nodes]
+        self.next_pool = itertools.cycle(self.pools)
         self.dials: set[asyncio.Task[None]] = set()
 
-    def forward(self, client: _Client, data: list[bytes]) -> None:
-        address, pool = next(self.turn)
+    def forward(self, client: _ClientConnection, data: list[bytes]) -> None:
+        """Sends a request to the next node, on an idle connection or a new one."""
+        address, pool = next(self.next_pool)
         if pool:
             self._send(pool.pop(), client, data)
             return
@@ -115,31 +116,38 @@
         task.add_done_callback(self.dials.discard)
 
     async def _dial(
-        self, address: tuple[str, int], pool: list[_Upstream], client: _Client, data: list[bytes]
+        self,
+        address: tuple[str, int],
+        pool: list[_NodeConnection],
+        client: _ClientConnection,
+        data: list[bytes],
     ) -> None:
-        _, upstream = await asyncio.get_running_loop().create_connection(lambda: _Upstream(pool), *address)
+        _, upstream = await asyncio.get_running_loop().create_connection(
+            lambda: _NodeConnection(pool), *address
+        )
         self._send(upstream, client, data)
 
     @staticmethod
-    def _send(upstream: _Upstream, client: _Client, data: list[bytes]) -> None:
+    def _send(upstream: _NodeConnection, client: _ClientConnection, data: list[bytes]) -> None:
         upstream.client = client
         if upstream.transport is not None:
             upstream.transport.writelines(data)
 
 
-async def serve(port: int, boxes: list[tuple[str, int]]) -> None:
-    """Forwards from this port until it is cancelled."""
-    forwarder = Forwarder(boxes)
+async def serve(port: int, nodes: list[tuple[str, int]]) -> None:
+    """Forwards requests that arrive at this port until it is cancelled."""
+    forwarder = Forwarder(nodes)
     server = await asyncio.get_running_loop().create_server(
-        lambda: _Client(forwarder), "127.0.0.1", port, backlog=BACKLOG
+        lambda: _ClientConnection(forwarder), "127.0.0.1", port, backlog=BACKLOG
     )
     await server.serve_forever()
 
 
 def main(arguments: list[str]) -> None:
-    boxes = [(host, int(port)) for host, _, port in (a.rpartition(":") for a in arguments[1:])]
+    """Runs a forwarder: the port to listen on, then the nodes' addresses."""
+    nodes = [(host, int(port)) for host, _, port in (a.rpartition(":") for a in arguments[1:])]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(serve(int(arguments[0]), boxes))
+        runner.run(serve(int(arguments[0]), nodes))
 
 
 if __name__ == "__main__":
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: a closed loop of connections for throughput, a paced one for service."""
+"""Load-generating clients: a closed loop to measure throughput, an open loop to measure latency."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from httptools import HttpResponseParser
 
 from standins.connections import ConnectionRecord, End
-from standins.holds import no_hold
+from standins.stalls import no_stall
 
-# The bytes of the next request, and what it is about (any label that the caller reports by).
+# Returns the bytes of the next request and a label, by which results are grouped.
 Draw = Callable[[], tuple[bytes, str]]
-# Told of each answer, instead of the tally: its label, status, milliseconds, and the box that gave it.
+# Called for each answer instead of the tally: label, status (0: no answer), milliseconds, answering node.
 Observe = Callable[[str, int, float, str], None]
-# Told of a connection whose request got no answer, with that request's label.
-Lost = Callable[[str, ConnectionRecord], None]
-Hold = Callable[[str], None]
+# Called when a connection ends with a request unanswered: that request's label and the connection's record.
+LostCallback = Callable[[str, ConnectionRecord], None]
+# Called at named steps of a connection; may block the process there.
+StallHook = Callable[[str], None]
 
 
 @dataclass(slots=True)
 class Tally:
-    """What became of the requests: statuses and latencies (milliseconds), by label."""
+    """Results of requests: statuses and latencies (milliseconds), by label."""
 
     statuses: dict[str, Counter[int]] = field(default_factory=dict)
     latencies: dict[str, list[float]] = field(default_factory=dict)
@@ -34,91 +35,102 @@
     span_s: float = 0.0
 
     def add(self, label: str, status: int, ms: float) -> None:
+        """Counts an answer; only answers of 200 count for the latencies."""
         self.statuses.setdefault(label, Counter())[status] += 1
         if status == 200:
             self.latencies.setdefault(label, []).append(ms)
 
     @property
     def served(self) -> int:
+        """Requests that were answered with 200."""
         return sum(c[200] for c in self.statuses.values())
 
     def asked(self, label: str) -> int:
+        """Requests of a label that got an answer of any status."""
         return sum(self.statuses.get(label, Counter()).values())
 
     def in_time(self, label: str, aim_ms: float) -> int:
+        """Requests of a label that were answered with 200 within the aim."""
         return sum(1 for ms in self.latencies.get(label, []) if ms <= aim_ms)
 
     def percentile(self, share: float, label: str | None = None) -> float:
-        """A latency in milliseconds that so great a share stays within; 0 where nothing was served."""
+        """The latency in milliseconds below which this fraction of requests lies; 0 if none was served."""
         chosen = self.latencies.values() if label is None else [self.latencies.get(label, [])]
         values = sorted(ms for part in chosen for ms in part)
         return values[min(int(share * len(values)), len(values) - 1)] if values else 0.0
 
 
-class Asker(asyncio.Protocol):
-    """One connection of a client: a request at a time."""
+class LoadConnection(asyncio.Protocol):
+    """A client's connection, with one request at a time."""
 
-    def __init__(self, tally: Tally, hold: Hold = no_hold) -> None:
-        self.tally, self.hold = tally, hold
+    def __init__(self, tally: Tally, stall: StallHook = no_stall) -> None:
+        self.tally, self.stall = tally, stall
         self.record = ConnectionRecord(0, 0.0)
-        self.lost: Lost | None = None
+        self.lost: LostCallback | None = None
         self.parser = HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
         self.label = ""
         self.asked_at = 0.0
-        self.answered: Callable[[Asker], None] | None = None
+        self.answered: Callable[[LoadConnection], None] | None = None
         self.observe: Observe | None = None
-        self.box = ""
+        self.node = ""
         self.busy = False
-        self.keeps = True  # the last answer did not ask for the connection's end
+        self.keep_alive = True  # the last answer lets the connection stay open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Starts the record of the connection."""
         self.transport = cast(asyncio.Transport, transport)
         port = int(transport.get_extra_info("sockname")[1])
         self.record = ConnectionRecord(port, time.monotonic())
-        self.hold("connected")
+        self.stall("connected")
 
     def ask(self, data: bytes, label: str, asked_at: float | None = None) -> None:
+        """Sends a request. Its latency counts from `asked_at` (monotonic seconds), or from now."""
         assert self.transport is not None
         self.label, self.busy = label, True
         self.asked_at = time.monotonic() if asked_at is None else asked_at
-        self.hold("before a request")
+        self.stall("before a request")
         self.record.sent()
         self.transport.write(data)
-        self.hold("after a request")
+        self.stall("after a request")
 
     def eof_received(self) -> None:
+        """Notes that the other side closed the connection."""
         self.record.ended(End.BY_PEER)
 
     def close(self) -> None:
-        """Ends the connection from this side."""
+        """Closes the connection from the client's side."""
         if self.transport is not None:
             self.record.ended(End.BY_CLIENT)
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
+        """Parses bytes of an answer."""
         self.record.received()
         self.parser.feed_data(data)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        low = name.lower()
-        if low == b"retry-after":
+        """Called by the parser for each header of an answer."""
+        lowered = name.lower()
+        if lowered == b"retry-after":
             self.tally.retry_after[float(value)] += 1
-        elif low == b"x-box":
-            self.box = value.decode("latin-1")
+        elif lowered == b"x-box":
+            self.node = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        status, self.keeps = self.parser.get_status_code(), self.parser.should_keep_alive()
-        took = (time.monotonic() - self.asked_at) * 1e3
+        """Called by the parser at the end of an answer."""
+        status, self.keep_alive = self.parser.get_status_code(), self.parser.should_keep_alive()
+        elapsed_ms = (time.monotonic() - self.asked_at) * 1e3
         if self.observe is None:
-            self.tally.add(self.label, status, took)
+            self.tally.add(self.label, status, elapsed_ms)
         else:
-            self.observe(self.label, status, took, self.box)
+            self.observe(self.label, status, elapsed_ms, self.node)
         self.busy = False
         if self.answered is not None:
             asyncio.get_running_loop().call_soon(self.answered, self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Counts an unanswered request as lost."""
         self.transport = None
         self.record.ended(End.BY_PEER if exc is None else End.BY_RESET)
         if self.busy:
@@ -127,46 +139,49 @@
             if self.lost is not None:
                 self.lost(self.label, self.record)
             if self.observe is not None:
-                self.observe(self.label, 0, (time.monotonic() - self.asked_at) * 1e3, self.box)
+                self.observe(self.label, 0, (time.monotonic() - self.asked_at) * 1e3, self.node)
             if self.answered is not None:
                 self.answered(self)
 
 
-async def _connect(port: int, tally: Tally, hold: Hold = no_hold) -> Asker:
+async def _connect(port: int, tally: Tally, stall: StallHook = no_stall) -> LoadConnection:
     loop = asyncio.get_running_loop()
-    _, asker = await loop.create_connection(lambda: Asker(tally, hold), "127.0.0.1", port)
-    return asker
+    _, connection = await loop.create_connection(lambda: LoadConnection(tally, stall), "127.0.0.1", port)
+    return connection
 
 
 async def closed_loop(ports: Sequence[int], connections: int, seconds: float, draw: Draw) -> Tally:
-    """Each connection asks again as soon as it is answered. The ports get the connections in turn."""
+    """Sends the next request on each connection as soon as the last is answered. The connections are spread
+    over the ports in turn."""
     tally = Tally()
-    until = time.monotonic() + seconds
-    over = asyncio.Event()
+    deadline = time.monotonic() + seconds
+    finished = asyncio.Event()
     running = connections
 
-    def again(asker: Asker) -> None:
+    def send_next(connection: LoadConnection) -> None:
         nonlocal running
-        if time.monotonic() < until and asker.transport is not None:
-            asker.ask(*draw())
+        if time.monotonic() < deadline and connection.transport is not None:
+            connection.ask(*draw())
             return
         running -= 1
-        asker.close()
+        connection.close()
         if not running:
-            over.set()
-
-    begun = time.monotonic()
-    for asker in await asyncio.gather(*(_connect(ports[i % len(ports)], tally) for i in range(connections))):
-        asker.answered = again
-        asker.ask(*draw())
-    await over.wait()
-    tally.span_s = time.monotonic() - begun
+            finished.set()
+
+    started_at = time.monotonic()
+    for connection in await asyncio.gather(
+        *(_connect(ports[i % len(ports)], tally) for i in range(connections))
+    ):
+        connection.answered = send_next
+        connection.ask(*draw())
+    await finished.wait()
+    tally.span_s = time.monotonic() - started_at
     return tally
 
 
 class Paced:
-    """An open loop: so many requests a second whatever becomes of them, on as many connections as it needs
-    (up to a bound: then a request waits, and its wait counts)."""
+    """An open loop: a fixed rate of requests, whatever the latency, on as many connections as that needs.
+    Beyond `connections_max` requests wait, and their latency includes the wait."""
 
     def __init__(
         self,
@@ -175,39 +190,40 @@
         draw: Draw,
         connections_max: int = 256,
         observe: Observe | None = None,
-        lost: Lost | None = None,
-        hold: Hold = no_hold,
+        lost: LostCallback | None = None,
+        stall: StallHook = no_stall,
     ) -> None:
-        self.observe, self.lost, self.hold = observe, lost, hold
+        self.observe, self.lost, self.stall = observe, lost, stall
         self.port, self.per_second, self.draw = port, per_second, draw
         self.connections_max = connections_max
         self.tally = Tally()
-        self.idle: list[Asker] = []
-        self.all: set[Asker] = set()
+        self.idle: list[LoadConnection] = []
+        self.all: set[LoadConnection] = set()
         self.waiting: list[tuple[bytes, str, float]] = []
         self.connecting = 0
 
     async def run(self, seconds: float) -> Tally:
+        """Sends requests for this long and returns the results, once all are answered or 10 s later."""
         loop = asyncio.get_running_loop()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         sent = 0
         tasks: set[asyncio.Task[None]] = set()
-        while (now := time.monotonic()) < begun + seconds:
-            while sent < (now - begun) * self.per_second:
+        while (now := time.monotonic()) < started_at + seconds:
+            while sent < (now - started_at) * self.per_second:
                 sent += 1
                 data, label = self.draw()
-                self._ask(data, label, now, loop, tasks)
+                self._send_or_queue(data, label, now, loop, tasks)
             await asyncio.sleep(0.002)
-        until = time.monotonic() + 10.0  # every request has its one answer long before
-        while (self.waiting or any(a.busy for a in self.all)) and time.monotonic() < until:
+        deadline = time.monotonic() + 10.0  # every request should be answered long before
+        while (self.waiting or any(a.busy for a in self.all)) and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
         self.tally.lost += len(self.waiting) + sum(a.busy for a in self.all)
-        for asker in self.all:
-            asker.close()
+        for connection in self.all:
+            connection.close()
         self.tally.span_s = seconds
         return self.tally
 
-    def _ask(
+    def _send_or_queue(
         self,
         data: bytes,
         label: str,
@@ -216,42 +232,44 @@
         tasks: set[asyncio.Task[None]],
     ) -> None:
         while self.idle:
-            asker = self.idle.pop()
-            if asker.transport is not None and not asker.transport.is_closing():
-                asker.ask(data, label, now)
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                connection.ask(data, label, now)
                 return
-            self.all.discard(asker)
+            self.all.discard(connection)
         self.waiting.append((data, label, now))
         if len(self.all) + self.connecting < self.connections_max:
             self.connecting += 1
-            task = loop.create_task(self._grow())
+            task = loop.create_task(self._open_connection())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
-    async def _grow(self) -> None:
+    async def _open_connection(self) -> None:
         try:
-            asker = await _connect(self.port, self.tally, self.hold)
+            connection = await _connect(self.port, self.tally, self.stall)
         except OSError:
             return
         finally:
             self.connecting -= 1
-        asker.answered, asker.observe, asker.lost = self._answered, self.observe, self.lost
-        if not self.waiting:  # whom it was for was served; servers end connections that say nothing
-            asker.close()
+        connection.answered, connection.observe, connection.lost = self._on_answer, self.observe, self.lost
+        if (
+            not self.waiting
+        ):  # the request was sent elsewhere meanwhile; servers close connections without requests
+            connection.close()
             return
-        self.all.add(asker)
-        asker.ask(*self.waiting.pop(0))
-
-    def _answered(self, asker: Asker) -> None:
-        if not asker.keeps:
-            asker.close()
-        if asker.transport is None or asker.transport.is_closing():
-            self.all.discard(asker)
-            if self.waiting:  # whoever waits must not wait for a connection that is gone
+        self.all.add(connection)
+        connection.ask(*self.waiting.pop(0))
+
+    def _on_answer(self, connection: LoadConnection) -> None:
+        if not connection.keep_alive:
+            connection.close()
+        if connection.transport is None or connection.transport.is_closing():
+            self.all.discard(connection)
+            if self.waiting:  # waiting requests need a new connection in place of the closed one
                 self.connecting += 1
-                task = asyncio.get_running_loop().create_task(self._grow())
-                self._keep = task
+                task = asyncio.get_running_loop().create_task(self._open_connection())
+                self._last_task = task
         elif self.waiting:
-            asker.ask(*self.waiting.pop(0))
+            connection.ask(*self.waiting.pop(0))
         else:
-            self.idle.append(asker)
+            self.idle.append(connection)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,7 +1,7 @@
-"""Relays between instances: one for each ordered pair, for datagrams and connections, that break what passes.
+"""Relays between instances that inject faults: one for each ordered pair, for datagrams and connections.
 
-A relay from A to B listens where A's address book says B is, and passes on to where B is. It knows nothing of
-what it carries. What it does to it is its `Law`, which may change at any time.
+A relay from A to B listens at the address that A's address book has for B, and forwards to B's real address.
+It does not interpret what it forwards. Its `LinkBehavior` sets the faults, and may change at any time.
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 from dataclasses import dataclass
 from typing import Final
 
-READS: Final = 256
-DATAGRAM: Final = 65_536
-WAITING_MAX: Final = 4_096  # datagrams on their way; more are lost
+READS_PER_EVENT: Final = 256
+DATAGRAM_BYTES_MAX: Final = 65_536
+DELAYED_MAX: Final = 4_096  # delayed datagrams; more are lost
 PORT_TRIES: Final = 50
 
 
 @dataclass(frozen=True, slots=True)
-class Law:
-    """What a link does, one way. Parts are 0 to 1, times in milliseconds. A delay is lognormal: the middle
-    one, and the spread of its logarithm (0: always the same)."""
+class LinkBehavior:
+    """Faults of a link in one direction. Fractions are 0 to 1, times in milliseconds. A delay is lognormal:
+    its median, and the standard deviation of its logarithm (0: a constant delay)."""
 
     cut: bool = False
     loss: float = 0.0
-    doubled: float = 0.0
-    reordered: float = 0.0  # so many are held back
-    held_ms: float = 0.0  # for so long
+    duplicated: float = 0.0
+    reordered: float = 0.0  # fraction that is held back
+    held_ms: float = 0.0  # how long those are held back
     delay_ms: float = 0.0
     sigma: float = 0.0
-    bytes_per_s: float = 0.0  # 0: no bound
-    hushed: bool = False  # connections open and say nothing
+    bytes_per_s: float = 0.0  # 0: no limit
+    silent: bool = False  # connections are accepted, but no bytes pass
 
 
-WHOLE: Final = Law()
+HEALTHY: Final = LinkBehavior()
 
 
 class Relay:
-    """One link, one way."""
+    """A link in one direction."""
 
-    def __init__(self, to: Callable[[], tuple[str, int]], seed: str) -> None:
-        self.to, self.random = to, random.Random(seed)
-        self.law = WHOLE
-        self.back: Relay | None = None  # whose law holds for what a connection answers
+    def __init__(self, target: Callable[[], tuple[str, int]], seed: str) -> None:
+        self.target, self.random = target, random.Random(seed)
+        self.behavior = HEALTHY
+        self.reverse: Relay | None = None  # whose behavior applies to the bytes that a connection returns
         self.counts: Counter[str] = Counter()
         self.loop = asyncio.get_running_loop()
-        self.waiting = 0
-        self.free_at = 0.0  # when a trickle has passed on all that came
+        self.delayed = 0
+        self.line_free_at = 0.0  # loop time at which a link with a byte rate has sent all it got
         self.udp, self.server = self._listen()
-        self.out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.out.setblocking(False)
-        self.open: set[asyncio.Task[None]] = set()
+        self.sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.sender.setblocking(False)
+        self.connection_tasks: set[asyncio.Task[None]] = set()
 
     def _listen(self) -> tuple[socket.socket, socket.socket]:
-        """Both sockets on one free port."""
+        """Binds a datagram and a listening socket to the same free port."""
         for _ in range(PORT_TRIES):
             server = socket.create_server(("127.0.0.1", 0))
             udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -73,71 +73,79 @@
 
     @property
     def address(self) -> str:
+        """Its host and port."""
         return "{}:{}".format(*self.server.getsockname())
 
     def start(self) -> None:
-        self.loop.add_reader(self.udp, self._readable)
+        """Begins to forward."""
+        self.loop.add_reader(self.udp, self._read_datagrams)
         self.loop.add_reader(self.server, self._accept)
 
     def stop(self) -> None:
+        """Closes the sockets and ends all connections."""
         for sock in (self.udp, self.server):
             self.loop.remove_reader(sock)
             sock.close()
-        self.out.close()
-        for task in self.open:
+        self.sender.close()
+        for task in self.connection_tasks:
             task.cancel()
 
     # -- datagrams
-    def _readable(self) -> None:
-        for _ in range(READS):
+    def _read_datagrams(self) -> None:
+        for _ in range(READS_PER_EVENT):
             try:
-                data = self.udp.recv(DATAGRAM)
+                data = self.udp.recv(DATAGRAM_BYTES_MAX)
             except OSError:
                 return
-            self._pass(data)
+            self._relay_datagram(data)
 
-    def _pass(self, data: bytes) -> None:
-        law, rng = self.law, self.random
+    def _relay_datagram(self, data: bytes) -> None:
+        behavior, rng = self.behavior, self.random
         self.counts["datagrams"] += 1
-        if law.cut or rng.random() < law.loss or self.waiting >= WAITING_MAX:
+        if behavior.cut or rng.random() < behavior.loss or self.delayed >= DELAYED_MAX:
             self.counts["lost"] += 1
             return
-        for _ in range(2 if rng.random() < law.doubled else 1):
-            wait = self._delay(law)
-            if rng.random() < law.reordered:
-                wait += law.held_ms / 1e3
-            wait += self._queue(law, len(data))
-            if wait <= 0:
+        for _ in range(2 if rng.random() < behavior.duplicated else 1):
+            delay_s = self._random_delay(behavior)
+            if rng.random() < behavior.reordered:
+                delay_s += behavior.held_ms / 1e3
+            delay_s += self._rate_delay(behavior, len(data))
+            if delay_s <= 0:
                 self._send(data)
             else:
-                self.waiting += 1
-                self.loop.call_later(wait, self._later, data)
+                self.delayed += 1
+                self.loop.call_later(delay_s, self._send_delayed, data)
 
-    def _delay(self, law: Law) -> float:
-        """Seconds."""
-        if law.delay_ms <= 0:
+    def _random_delay(self, behavior: LinkBehavior) -> float:
+        """A random delay in seconds."""
+        if behavior.delay_ms <= 0:
             return 0.0
-        return law.delay_ms / 1e3 * (self.random.lognormvariate(0.0, law.sigma) if law.sigma else 1.0)
-
-    def _queue(self, law: Law, size: int) -> float:
-        if law.bytes_per_s <= 0:
+        return (
+            behavior.delay_ms
+            / 1e3
+            * (self.random.lognormvariate(0.0, behavior.sigma) if behavior.sigma else 1.0)
+        )
+
+    def _rate_delay(self, behavior: LinkBehavior, size: int) -> float:
+        """Seconds until a link with a byte rate has sent what waits and these bytes."""
+        if behavior.bytes_per_s <= 0:
             return 0.0
         now = self.loop.time()
-        self.free_at = max(self.free_at, now) + size / law.bytes_per_s
-        return self.free_at - now
+        self.line_free_at = max(self.line_free_at, now) + size / behavior.bytes_per_s
+        return self.line_free_at - now
 
-    def _later(self, data: bytes) -> None:
-        self.waiting -= 1
-        if self.law.cut:
+    def _send_delayed(self, data: bytes) -> None:
+        self.delayed -= 1
+        if self.behavior.cut:
             self.counts["lost"] += 1
         else:
             self._send(data)
 
     def _send(self, data: bytes) -> None:
         try:
-            self.out.sendto(data, self.to())
+            self.sender.sendto(data, self.target())
             self.counts["passed"] += 1
-        except OSError:  # nobody is there, or the relay has ended
+        except OSError:  # nothing listens there, or the relay was stopped
             self.counts["lost"] += 1
 
     # -- connections
@@ -148,33 +156,33 @@
             return
         sock.setblocking(False)
         self.counts["connections"] += 1
-        task = self.loop.create_task(self._connect(sock))
-        self.open.add(task)
-        task.add_done_callback(self.open.discard)
+        task = self.loop.create_task(self._relay_connection(sock))
+        self.connection_tasks.add(task)
+        task.add_done_callback(self.connection_tasks.discard)
 
-    async def _connect(self, near: socket.socket) -> None:
-        far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        far.setblocking(False)
+    async def _relay_connection(self, inbound: socket.socket) -> None:
+        outbound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        outbound.setblocking(False)
         try:
-            if self.law.cut or (self.back is not None and self.back.law.cut):
-                return  # no answer to a SYN: for the one that asks it is the same as an end, and quicker
-            await self.loop.sock_connect(far, self.to())
-            back = self.back or self
-            await asyncio.gather(self._pump(near, far), back._pump(far, near))
+            if self.behavior.cut or (self.reverse is not None and self.reverse.behavior.cut):
+                return  # dialing fails as it does without an answer to the SYN, but sooner
+            await self.loop.sock_connect(outbound, self.target())
+            reverse = self.reverse or self
+            await asyncio.gather(self._pump(inbound, outbound), reverse._pump(outbound, inbound))
         except OSError:
             pass
         finally:
-            near.close()
-            far.close()
+            inbound.close()
+            outbound.close()
 
     async def _pump(self, source: socket.socket, sink: socket.socket) -> None:
-        """One direction of a connection, until it ends. While the link is cut, bytes wait."""
+        """Copies one direction of a connection until it ends. While the link is cut, bytes wait."""
         while data := await self.loop.sock_recv(source, 16_384):
-            while self.law.cut or self.law.hushed:
+            while self.behavior.cut or self.behavior.silent:
                 await asyncio.sleep(0.02)
-            wait = self._delay(self.law) + self._queue(self.law, len(data))
-            if wait > 0:
-                await asyncio.sleep(wait)
+            delay_s = self._random_delay(self.behavior) + self._rate_delay(self.behavior, len(data))
+            if delay_s > 0:
+                await asyncio.sleep(delay_s)
             await self.loop.sock_sendall(sink, data)
         sink.shutdown(socket.SHUT_WR)
 
@@ -183,7 +191,7 @@
     """A relay for each ordered pair of names."""
 
     def __init__(self, places: dict[str, tuple[str, int]], seed: int) -> None:
-        """`places`: where each name is reached; may change while it runs."""
+        """`places`: the address of each name; may change at any time."""
         self.places = places
         self.relays = {
             (a, b): Relay(lambda b=b: self.places[b], f"{seed} {a} {b}")  # type: ignore[misc]
@@ -192,16 +200,18 @@
             if a != b
         }
         for (a, b), relay in self.relays.items():
-            relay.back = self.relays[b, a]
+            relay.reverse = self.relays[b, a]
 
-    def book(self, name: str) -> dict[str, str]:
-        """Where one instance finds the others."""
+    def address_book(self, name: str) -> dict[str, str]:
+        """The relay addresses at which one instance reaches the others."""
         return {b: relay.address for (a, b), relay in self.relays.items() if a == name}
 
     def start(self) -> None:
+        """Starts all relays."""
         for relay in self.relays.values():
             relay.start()
 
     def stop(self) -> None:
+        """Stops all relays."""
         for relay in self.relays.values():
             relay.stop()
--- a/tests/faults/test_lists.py
+++ b/tests/faults/test_lists.py
@@ -1,6 +1,6 @@
-"""Several proxies of the platform as processes, behind one agent that falls silent, breaks, goes down and
-comes back while boxes begin to drain. Judged by when the boxes were sent something, beside when a drain
-counts as told."""
+"""Several proxy processes whose common discovery agent falls silent, resets connections, goes down and comes
+back while nodes begin to drain. No node may get requests later than a grace period after its drain counts as
+announced."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 from standins.ports import free_ports
 from tests.rig import Client, Peer, Seen, answer, run, until
 
-PROXIES, BOXES = 4, 7
+PROXIES, NODES = 4, 7
 GRACE_S = 0.25
-BUSY_S = 1.0  # a machine that does much else may hold a process up for so long
-SILENT_S = 6.0  # after it fell silent, what a watch missed counts as told
+BUSY_S = 1.0  # a busy machine may delay a process by this much
+MISSED_AFTER_S = 6.0  # after discovery falls silent, missed changes count as announced after this time
 DOWN_S = 3.0
-EVERY_S = 0.01
+PAUSE_S = 0.01
 
 
 @dataclass
 class Fleet:
-    """The processes, the boxes, and what each box was sent: by which proxy's process, and when."""
+    """The proxy processes, the nodes, and when each node got requests from which process."""
 
     folder: Path
-    way: str  # how lists come, as the settings have it
+    mode: str  # the setting MembershipMode
     registry: Registry = field(default_factory=Registry)
     sent: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
-    boxes: dict[str, Peer] = field(default_factory=dict)
+    nodes: dict[str, Peer] = field(default_factory=dict)
     processes: dict[int, subprocess.Popen[bytes]] = field(default_factory=dict)
-    lives: dict[int, int] = field(default_factory=dict)
+    starts: dict[int, int] = field(default_factory=dict)
     ports: list[int] = field(default_factory=lambda: free_ports(PROXIES))
     answers: dict[int, int] = field(default_factory=dict)
 
-    async def begin(self) -> None:
+    async def start_all(self) -> None:
         await self.registry.start()
-        for number in range(BOXES):
+        for number in range(NODES):
             name = f"box-{number}"
             self.sent[name] = []
 
@@ -54,9 +54,9 @@
                 self.sent[name].append((time.monotonic(), seen.headers["x-caller"]))
                 writer.write(answer(b"value"))
 
-            self.boxes[name] = box = Peer(serve)
-            await box.start()
-            await self.registry.put(member(name, f"127.0.0.1:{box.port}"))
+            self.nodes[name] = node = Peer(serve)
+            await node.start()
+            await self.registry.put(member(name, f"127.0.0.1:{node.port}"))
         self.known = self.registry.listing(None)
         for number in range(PROXIES):
             self.start(number)
@@ -64,7 +64,7 @@
             await self.ready(number)
 
     def start(self, number: int) -> None:
-        """A process with the list of the fleet's beginning, as old as that may be by now."""
+        """Starts a process with the list as it was when the fleet started, however old it is by now."""
         file = self.folder / f"n{number}.json"
         file.write_text(
             json.dumps(
@@ -75,7 +75,7 @@
                     "seed": str(number),
                     "known": self.known,
                     "settings": {
-                        "MembershipMode": self.way,
+                        "MembershipMode": self.mode,
                         "PeersTotal": PROXIES,
                         "Classes": [{"Name": "read", "ObjectiveMs": 1_000, "DeadlineMs": 3_000}],
                         "Rules": {"DrainGraceMs": GRACE_S * 1e3},
@@ -83,7 +83,7 @@
                 }
             )
         )
-        self.lives[number] = self.lives.get(number, 0) + 1
+        self.starts[number] = self.starts.get(number, 0) + 1
         self.answers[number] = 0
         self.processes[number] = subprocess.Popen(
             [sys.executable, "-m", "notchflow"],
@@ -102,76 +102,78 @@
             await asyncio.sleep(0.02)
 
     async def load(self, number: int) -> None:
-        """Asks one proxy again and again for other keys, on one connection, as long as its process lives."""
-        life, asked = f"n{number}.{self.lives[number]}", 0
+        """Sends requests with changing keys to one proxy, on one connection, until its process ends."""
+        process_name, asked = f"n{number}.{self.starts[number]}", 0
         client = Client(*await asyncio.open_connection("127.0.0.1", self.ports[number]))
         while True:
             asked += 1
             try:
-                seen = await client.ask(path=f"/api/{asked * 2654435761 % 2**64:016x}", x_caller=life)
+                seen = await client.ask(path=f"/api/{asked * 2654435761 % 2**64:016x}", x_caller=process_name)
             except (AssertionError, ConnectionError):
                 return
             self.answers[number] += seen.status == 200
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(PAUSE_S)
 
-    def last(self, box: str) -> float:
-        return max((at for at, _ in self.sent[box]), default=0.0)
+    def last_request_at(self, node: str) -> float:
+        return max((at for at, _ in self.sent[node]), default=0.0)
 
     def end(self) -> None:
         for process in self.processes.values():
             process.kill()
             process.wait()
         self.registry.stop()
-        for box in self.boxes.values():
-            box.stop()
+        for node in self.nodes.values():
+            node.stop()
 
 
 @contextmanager
-def fleet(folder: Path, way: str) -> Iterator[Fleet]:
-    made = Fleet(folder, way)
+def fleet(folder: Path, mode: str) -> Iterator[Fleet]:
+    proxies = Fleet(folder, mode)
     try:
-        yield made
+        yield proxies
     finally:
-        made.end()
+        proxies.end()
 
 
-async def quiet(made: Fleet, box: str, told: float) -> None:
-    """Waits until some time after a drain counts as told, and judges what the box was sent since."""
-    await asyncio.sleep(max(0.0, told + GRACE_S + BUSY_S + 0.5 - time.monotonic()))
-    assert made.last(box) <= told + GRACE_S + BUSY_S, f"{box} was sent something after its drain was told"
+async def check_silence(proxies: Fleet, node: str, announced_at: float) -> None:
+    """Waits until well after a drain counts as announced, and checks when the node got its last request."""
+    await asyncio.sleep(max(0.0, announced_at + GRACE_S + BUSY_S + 0.5 - time.monotonic()))
+    assert (
+        proxies.last_request_at(node) <= announced_at + GRACE_S + BUSY_S
+    ), f"{node} got a request after its drain was announced"
 
 
-def test_no_process_sends_to_a_box_that_drains_whatever_its_agent_goes_through(tmp_path: Path) -> None:
+def test_no_process_sends_to_a_draining_node_whatever_happens_to_its_agent(tmp_path: Path) -> None:
     async def test() -> None:
-        with fleet(tmp_path, "pushed") as made:
-            await made.begin()
-            loads = [asyncio.create_task(made.load(n)) for n in range(PROXIES)]
-            await until(lambda: all(made.sent[box] for box in made.boxes))
-
-            assert made.registry.silence() >= PROXIES
-            silent = time.monotonic()
-            await made.registry.phase("box-0", "draining")
-            await quiet(made, "box-0", silent + SILENT_S)
-
-            made.registry.reset()
-            await made.registry.phase("box-1", "draining")
-            await quiet(made, "box-1", time.monotonic())
-
-            made.registry.up.clear()
-            await made.registry.phase("box-2", "draining")
+        with fleet(tmp_path, "pushed") as proxies:
+            await proxies.start_all()
+            loads = [asyncio.create_task(proxies.load(n)) for n in range(PROXIES)]
+            await until(lambda: all(proxies.sent[node] for node in proxies.nodes))
+
+            assert proxies.registry.silence() >= PROXIES
+            silent_since = time.monotonic()
+            await proxies.registry.phase("box-0", "draining")
+            await check_silence(proxies, "box-0", silent_since + MISSED_AFTER_S)
+
+            proxies.registry.reset()
+            await proxies.registry.phase("box-1", "draining")
+            await check_silence(proxies, "box-1", time.monotonic())
+
+            proxies.registry.up.clear()
+            await proxies.registry.phase("box-2", "draining")
             await asyncio.sleep(DOWN_S)
-            made.registry.up.set()
-            await quiet(made, "box-2", time.monotonic())
+            proxies.registry.up.set()
+            await check_silence(proxies, "box-2", time.monotonic())
 
-            made.processes[0].kill()
+            proxies.processes[0].kill()
             await loads[0]
-            made.start(0)
-            await made.ready(0)
-            loads[0] = asyncio.create_task(made.load(0))
-            await until(lambda: made.answers[0] >= 100)
-            new = [box for box, sent in made.sent.items() if any(who == "n0.2" for _, who in sent)]
-            assert new and not {"box-0", "box-1", "box-2"} & set(new), "its first list was an old one"
-            assert all(made.answers[n] > 200 for n in range(1, PROXIES))
+            proxies.start(0)
+            await proxies.ready(0)
+            loads[0] = asyncio.create_task(proxies.load(0))
+            await until(lambda: proxies.answers[0] >= 100)
+            new = [node for node, sent in proxies.sent.items() if any(who == "n0.2" for _, who in sent)]
+            assert new and not {"box-0", "box-1", "box-2"} & set(new), "its first list was outdated"
+            assert all(proxies.answers[n] > 200 for n in range(1, PROXIES))
             for load in loads:
                 load.cancel()
             await asyncio.gather(*loads, return_exceptions=True)
@@ -180,20 +182,20 @@
 
 
 @pytest.mark.skipif(not os.environ.get("NOTCHFLOW_LONG"), reason="takes half a minute; NOTCHFLOW_LONG=1")
-def test_asked_proxies_hear_within_half_a_minute_what_their_silent_watches_missed(tmp_path: Path) -> None:
+def test_on_request_proxies_learn_within_half_a_minute_what_silent_watches_missed(tmp_path: Path) -> None:
     async def test() -> None:
-        with fleet(tmp_path, "on_request") as made:
-            await made.begin()
-            loads = [asyncio.create_task(made.load(n)) for n in range(PROXIES)]
-            await until(lambda: len(made.registry.writers) == PROXIES)
-            made.registry.silence()
-            silent = time.monotonic()
-            await made.registry.phase("box-0", "draining")
+        with fleet(tmp_path, "on_request") as proxies:
+            await proxies.start_all()
+            loads = [asyncio.create_task(proxies.load(n)) for n in range(PROXIES)]
+            await until(lambda: len(proxies.registry.writers) == PROXIES)
+            proxies.registry.silence()
+            silent_since = time.monotonic()
+            await proxies.registry.phase("box-0", "draining")
             await asyncio.sleep(RENEWAL_RANGE_MS[0] / 1e3 - 2.0)
-            assert {who for at, who in made.sent["box-0"] if at > silent + GRACE_S + BUSY_S} == {
+            assert {who for at, who in proxies.sent["box-0"] if at > silent_since + GRACE_S + BUSY_S} == {
                 f"n{n}.1" for n in range(PROXIES)
-            }, "nobody can know it yet"
-            await quiet(made, "box-0", silent + RENEWAL_RANGE_MS[1] / 1e3)
+            }, "a proxy stopped before it could know of the drain"
+            await check_silence(proxies, "box-0", silent_since + RENEWAL_RANGE_MS[1] / 1e3)
             for load in loads:
                 load.cancel()
             await asyncio.gather(*loads, return_exceptions=True)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""One proxy between scripted peers, all on loopback sockets: cache nodes, discovery and clients."""
+"""A proxy between scripted peers on loopback sockets: cache nodes, discovery and clients."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 _E = TypeVar("_E")
 
-PATIENCE_S = 10.0  # only a hung test waits this long
+PATIENCE_S = 10.0  # only a test that hangs takes so long
 
 
 def run(test: Coroutine[Any, Any, None], patience_s: float = PATIENCE_S) -> None:
-    """Runs one test on the proxy's own kind of loop."""
+    """Runs a test on the kind of event loop that the proxy uses."""
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     try:
@@ -42,14 +42,14 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Waits for something that sockets bring about; run() bounds the wait."""
+    """Polls until the condition is true; run() bounds the wait."""
     while not condition():
         await asyncio.sleep(0.001)
 
 
 @dataclass
 class Seen:
-    """A message as a scripted peer read it."""
+    """An HTTP message as read by a scripted peer."""
 
     line: str
     headers: dict[str, str]
@@ -61,7 +61,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Seen | None:
-    """One HTTP message; None at the end of the connection."""
+    """Reads one HTTP message; None at the end of the connection."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
         line, *fields = head.decode("latin-1").rstrip("\r\n").split("\r\n")
@@ -80,7 +80,7 @@
 
 
 def answer(body: bytes = b"value", status: str = "200 OK", **headers: str) -> bytes:
-    """An answer with its length."""
+    """The bytes of an answer with Content-Length; `_` in header names stands for `-`."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status}\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -89,13 +89,13 @@
 
 
 async def serve_value(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """What a healthy node does."""
+    """Answers like a healthy node."""
     writer.write(answer(b"value of " + seen.line.split()[1].encode()))
 
 
 @dataclass
 class Peer:
-    """A server whose script answers each request; it counts what it is sent."""
+    """A server whose script answers each request; it records requests and connections."""
 
     script: Script = serve_value
     seen: list[Seen] = field(default_factory=list)
@@ -109,7 +109,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.server is None:  # accepted just before the stop, which did not see it
+        if self.server is None:  # accepted just before stop(), which did not see it
             writer.transport.abort()
             return
         self.connections += 1
@@ -131,7 +131,7 @@
 
 
 def stopped(host: Host) -> list[bool]:
-    """Set once the process would end. It must not end the test's loop."""
+    """Replaces the host's loop.stop(), which would stop the test's loop, by appending to a list."""
     ended: list[bool] = []
 
     class Loop:
@@ -147,7 +147,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client's connection to the proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -159,16 +159,16 @@
         body: bytes | None = None,
         **headers: str,
     ) -> None:
-        """Writes a request; a header is left out by giving it as the empty string."""
+        """Writes a request. A header with an empty value is left out."""
         fields = {"x_call_id": "9b1f03aa5c7e2d41", "x_call_class": "read", "x_budget": "5.0"}
-        fields |= {name.lower(): value for name, value in headers.items()}  # instead of these, not twice
+        fields |= {name.lower(): value for name, value in headers.items()}  # these replace the defaults
         if body is not None:
             fields["content_length"] = str(len(body))
         lines = "".join(f"{n.replace('_', '-')}: {v}\r\n" for n, v in fields.items() if v)
         self.writer.write(f"{method} {path} HTTP/1.1\r\n{lines}\r\n".encode() + (body or b""))
 
     def reset(self) -> None:
-        """Goes away for good: a plain close could as well be a client that only sends no more."""
+        """Resets the connection. A plain close could also mean a client that half-closes and still reads."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
@@ -190,7 +190,7 @@
 
 
 class Rig:
-    """The proxy under test, with as many nodes as scripts are given."""
+    """The proxy under test, with one node for each script."""
 
     def __init__(
         self,
@@ -202,7 +202,7 @@
         **changes: Any,
     ) -> None:
         self.door = door
-        self.greets = greets  # discovery answers the first call of a new process by itself
+        self.greets = greets  # discovery answers the first call of a new process at once
         self.nodes = [Peer(script) for script in scripts or (serve_value,)]
         self.discovery = Peer(self._answer_discovery)
         self.members = members
@@ -213,14 +213,14 @@
 
     async def _answer_discovery(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
         agent = not self.settings.list_on_request
-        if self.greets and agent and "wait=1 " in seen.line:  # the first of a process is answered at once
+        if self.greets and agent and "wait=1 " in seen.line:  # the first call of a process
             self.greets = False
             writer.write(self.listing(41, False, []))
             return
         self.calls.put_nowait((seen, writer))
 
     def entry(self, number: int, **changes: Any) -> dict[str, Any]:
-        """A node as discovery lists it."""
+        """A node's entry in the list of discovery."""
         return {
             "id": f"s-{number}",
             "host_port": f"127.0.0.1:{self.nodes[number].port}",
@@ -235,7 +235,7 @@
     def listing(
         self, revision: int, complete: bool = True, members: list[dict[str, Any]] | None = None
     ) -> bytes:
-        """An answer of discovery."""
+        """An answer of discovery with a list of nodes."""
         if members is None:
             members = [self.entry(i) for i in range(len(self.nodes))]
         return answer(json.dumps({"revision": revision, "complete": complete, "members": members}).encode())
@@ -272,25 +272,25 @@
         return client
 
     async def ask(self, *args: Any, **more: Any) -> Seen:
-        """One request on a connection of its own."""
+        """Sends a request on a new connection and returns its answer."""
         return await (await self.connect()).ask(*args, **more)
 
     def told(self, kind: type[_E]) -> list[_E]:
-        """The events of one kind that the module is told from now on."""
-        told: list[_E] = []
+        """A list that collects the events of one kind that the policy gets from now on."""
+        events: list[_E] = []
         handle = self.host.balancer.handle
 
-        def listening(now: float, event: Any) -> Any:
+        def recording_handle(now: float, event: Any) -> Any:
             if isinstance(event, kind):
-                told.append(event)
+                events.append(event)
             return handle(now, event)
 
-        self.host.balancer.handle = listening  # type: ignore[method-assign]
-        return told
+        self.host.balancer.handle = recording_handle  # type: ignore[method-assign]
+        return events
 
     @property
     def sent(self) -> int:
-        """Requests that the nodes have been sent."""
+        """Number of requests that the nodes have received."""
         return sum(len(node.seen) for node in self.nodes)
 
     async def __aexit__(
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -1,4 +1,4 @@
-"""The stand-in clients: on which connections they may send, and what they record of one that failed them."""
+"""Stand-in clients: on which connections they may send, and what they record of a connection that fails."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from standins.load import Paced
 from tests.rig import Peer, Seen, answer, run, until
 
-ASK = b"GET /menus/1 HTTP/1.1\r\nHost: a\r\n\r\n"
+REQUEST = b"GET /menus/1 HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-async def last_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def answer_and_close(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(answer(b"last", Connection="close"))
 
 
-async def shuts(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def close_unanswered(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.close()
 
 
-def test_a_connection_that_nobody_needs_any_more_is_not_kept() -> None:
-    """Guards against a request on a connection that its server ends because nothing came on it."""
+def test_a_connection_that_is_no_longer_needed_is_closed() -> None:
+    """Guards against a request on a connection that its server closes for lack of requests."""
 
     async def test() -> None:
         server = Peer()
         await server.start()
-        paced = Paced(server.port, 1.0, lambda: (ASK, "a"))
+        paced = Paced(server.port, 1.0, lambda: (REQUEST, "a"))
         paced.connecting = 1
-        await paced._grow()  # as when what waited was served on another connection meanwhile
+        await paced._open_connection()  # as if the waiting request had been sent elsewhere meanwhile
         assert not paced.idle and not paced.all and paced.connecting == 0
         await until(lambda: server.connections == 1 and not server.open)
         server.stop()
@@ -35,24 +35,24 @@
     run(test())
 
 
-def test_nothing_is_sent_behind_an_answer_that_asks_for_the_connection_s_end() -> None:
+def test_nothing_is_sent_after_an_answer_with_connection_close() -> None:
     async def test() -> None:
-        server = Peer(last_answer)
+        server = Peer(answer_and_close)
         await server.start()
-        tally = await Paced(server.port, 100.0, lambda: (ASK, "a")).run(0.2)
+        tally = await Paced(server.port, 100.0, lambda: (REQUEST, "a")).run(0.2)
         assert tally.lost == 0 and server.connections == len(server.seen) == tally.asked("a")
         server.stop()
 
     run(test())
 
 
-def test_a_lost_request_comes_with_the_record_of_its_connection() -> None:
+def test_a_lost_request_is_reported_with_the_record_of_its_connection() -> None:
     async def test() -> None:
-        server = Peer(shuts)
+        server = Peer(close_unanswered)
         await server.start()
         lost: list[ConnectionRecord] = []
         tally = await Paced(
-            server.port, 20.0, lambda: (ASK, "a"), lost=lambda label, record: lost.append(record)
+            server.port, 20.0, lambda: (REQUEST, "a"), lost=lambda label, record: lost.append(record)
         ).run(0.2)
         server.stop()
         assert tally.lost == len(lost) == len(server.seen)
--- a/tests/test_standin_stop.py
+++ b/tests/test_standin_stop.py
@@ -1,4 +1,4 @@
-"""A stand-in that stops ends every connection, whatever part of being accepted it has come to."""
+"""A stand-in that stops ends every connection, however far its acceptance has got."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from standins.discovery import Registry
 from tests.rig import Peer, run
 
-TURNS = 6  # of the loop: by then a connection is accepted and its handler has begun
+LOOP_TURNS = 6  # of the event loop, enough to accept a connection and start its handler
 
 
 class Server(Protocol):
-    """What all stand-ins have in common."""
+    """The interface that all stand-in servers share."""
 
     port: int
 
@@ -25,16 +25,16 @@
     def stop(self) -> None: ...
 
 
-def node() -> Server:
+def make_node() -> Server:
     return Box("b")
 
 
-@pytest.mark.parametrize("make", [Peer, Registry, node])
-@pytest.mark.parametrize("turns", range(TURNS))
+@pytest.mark.parametrize("make", [Peer, Registry, make_node])
+@pytest.mark.parametrize("turns", range(LOOP_TURNS))
 def test_a_connection_accepted_just_before_the_stop_is_ended_too(
     make: Callable[[], Server], turns: int
 ) -> None:
-    """Guards against a handler that nobody ends, and against a dead node that answers."""
+    """Guards against a handler that never ends, and against a stopped node that answers."""
 
     async def test() -> None:
         server = make()
