--- a/notchflow/faults/rig.py
+++ b/notchflow/faults/rig.py
@@ -211,10 +211,10 @@
         for task in clients:
             task.cancel()
         deadline = time.monotonic() + CLIENT_DRAIN_S
-        while any(a.busy for p in self.paced for a in p.all) and time.monotonic() < deadline:
+        while any(a.busy for p in self.paced for a in p.connections) and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
         for paced in self.paced:
-            for connection in paced.all:
+            for connection in paced.connections:
                 if connection.busy:
                     self._note("answer", id=connection.label, instance="nobody", status=0, ms=-1)
                 connection.busy = False
--- a/standins/load.py
+++ b/standins/load.py
@@ -70,8 +70,8 @@
         self.parser = HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
         self.label = ""
-        self.asked_at = 0.0
-        self.answered: Callable[[LoadConnection], None] | None = None
+        self.sent_at = 0.0
+        self.on_answer: Callable[[LoadConnection], None] | None = None
         self.observe: Observe | None = None
         self.node = ""
         self.busy = False
@@ -84,11 +84,11 @@
         self.record = ConnectionRecord(port, time.monotonic())
         self.stall("connected")
 
-    def ask(self, data: bytes, label: str, asked_at: float | None = None) -> None:
-        """Sends a request. Its latency counts from `asked_at` (monotonic seconds), or from now."""
+    def ask(self, data: bytes, label: str, sent_at: float | None = None) -> None:
+        """Sends a request. Its latency counts from `sent_at` (monotonic seconds), or from now."""
         assert self.transport is not None
         self.label, self.busy = label, True
-        self.asked_at = time.monotonic() if asked_at is None else asked_at
+        self.sent_at = time.monotonic() if sent_at is None else sent_at
         self.stall("before a request")
         self.record.sent()
         self.transport.write(data)
@@ -120,14 +120,14 @@
     def on_message_complete(self) -> None:
         """Called by the parser at the end of an answer."""
         status, self.keep_alive = self.parser.get_status_code(), self.parser.should_keep_alive()
-        elapsed_ms = (time.monotonic() - self.asked_at) * 1e3
+        elapsed_ms = (time.monotonic() - self.sent_at) * 1e3
         if self.observe is None:
             self.tally.add(self.label, status, elapsed_ms)
         else:
             self.observe(self.label, status, elapsed_ms, self.node)
         self.busy = False
-        if self.answered is not None:
-            asyncio.get_running_loop().call_soon(self.answered, self)
+        if self.on_answer is not None:
+            asyncio.get_running_loop().call_soon(self.on_answer, self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Counts an unanswered request as lost."""
@@ -139,9 +139,9 @@
             if self.lost is not None:
                 self.lost(self.label, self.record)
             if self.observe is not None:
-                self.observe(self.label, 0, (time.monotonic() - self.asked_at) * 1e3, self.node)
-            if self.answered is not None:
-                self.answered(self)
+                self.observe(self.label, 0, (time.monotonic() - self.sent_at) * 1e3, self.node)
+            if self.on_answer is not None:
+                self.on_answer(self)
 
 
 async def _connect(port: int, tally: Tally, stall: StallHook = no_stall) -> LoadConnection:
@@ -172,7 +172,7 @@
     for connection in await asyncio.gather(
         *(_connect(ports[i % len(ports)], tally) for i in range(connections))
     ):
-        connection.answered = send_next
+        connection.on_answer = send_next
         connection.ask(*draw())
     await finished.wait()
     tally.span_s = time.monotonic() - started_at
@@ -198,7 +198,7 @@
         self.connections_max = connections_max
         self.tally = Tally()
         self.idle: list[LoadConnection] = []
-        self.all: set[LoadConnection] = set()
+        self.connections: set[LoadConnection] = set()
         self.waiting: list[tuple[bytes, str, float]] = []
         self.connecting = 0
 
@@ -215,10 +215,10 @@
                 self._send_or_queue(data, label, now, loop, tasks)
             await asyncio.sleep(0.002)
         deadline = time.monotonic() + 10.0  # every request should be answered long before
-        while (self.waiting or any(a.busy for a in self.all)) and time.monotonic() < deadline:
+        while (self.waiting or any(a.busy for a in self.connections)) and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
-        self.tally.lost += len(self.waiting) + sum(a.busy for a in self.all)
-        for connection in self.all:
+        self.tally.lost += len(self.waiting) + sum(a.busy for a in self.connections)
+        for connection in self.connections:
             connection.close()
         self.tally.span_s = seconds
         return self.tally
@@ -236,9 +236,9 @@
             if connection.transport is not None and not connection.transport.is_closing():
                 connection.ask(data, label, now)
                 return
-            self.all.discard(connection)
+            self.connections.discard(connection)
         self.waiting.append((data, label, now))
-        if len(self.all) + self.connecting < self.connections_max:
+        if len(self.connections) + self.connecting < self.connections_max:
             self.connecting += 1
             task = loop.create_task(self._open_connection())
             tasks.add(task)
@@ -251,20 +251,18 @@
             return
         finally:
             self.connecting -= 1
-        connection.answered, connection.observe, connection.lost = self._on_answer, self.observe, self.lost
-        if (
-            not self.waiting
-        ):  # the request was sent elsewhere meanwhile; servers close connections without requests
+        connection.on_answer, connection.observe, connection.lost = self._on_answer, self.observe, self.lost
+        if not self.waiting:  # sent elsewhere meanwhile; servers close connections without requests
             connection.close()
             return
-        self.all.add(connection)
+        self.connections.add(connection)
         connection.ask(*self.waiting.pop(0))
 
     def _on_answer(self, connection: LoadConnection) -> None:
         if not connection.keep_alive:
             connection.close()
         if connection.transport is None or connection.transport.is_closing():
-            self.all.discard(connection)
+            self.connections.discard(connection)
             if self.waiting:  # waiting requests need a new connection in place of the closed one
                 self.connecting += 1
                 task = asyncio.get_running_loop().create_task(self._open_connection())
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -28,7 +28,7 @@
         paced = Paced(server.port, 1.0, lambda: (REQUEST, "a"))
         paced.connecting = 1
         await paced._open_connection()  # as if the waiting request had been sent elsewhere meanwhile
-        assert not paced.idle and not paced.all and paced.connecting == 0
+        assert not paced.idle and not paced.connections and paced.connecting == 0
         await until(lambda: server.connections == 1 and not server.open)
         server.stop()
 
