--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -1,9 +1,9 @@
-"""Agreement in simulated time: the core that the service runs, over links that lose and disks that are lost.
+"""Simulation of agreement (Raft): the real core over links that lose messages, with disks that may be lost.
 
-Each instance has a clock of its own that may drift, a disk that takes time, and a state of versions that
-changes build on. The world watches what is agreed, and judges by that alone: one order for all, nothing lost
-that was told, what is told lies in the order of time, and rules that contradict each other are acted on for
-no longer than the bound.
+Each instance has its own clock, which may drift, a disk with latency, and a state machine whose changes are
+conditional on a version. The world observes committed entries and checks invariants on them alone: one order
+of entries for all, no acknowledged change is lost, calls are linearizable, and instances act on conflicting
+rules for no longer than the bound.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.members import between
 
-COMPACT_EVERY: Final = 8  # entries put in force between two snapshots
-FAST: Final = RaftSettings(trailing_entries=4)
+COMPACT_EVERY: Final = 8  # entries applied between two snapshots
+FREQUENT_SNAPSHOTS: Final = RaftSettings(trailing_entries=4)
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    """A change of the rules: it holds only where nothing has changed since the version that it builds on."""
+    """A conditional change of the rules: it applies only if `base` is still the current version."""
 
     id: int
     base: int
@@ -45,14 +45,14 @@
 
 @dataclass(slots=True)
 class Machine:
-    """The rules: a version, and the changes that made it."""
+    """The replicated state machine: a version, and the ids of the changes that led to it."""
 
     applied: int = 0
-    version: int = 0  # index of the last change that held
+    version: int = 0  # index of the last change that was applied
     ids: list[int] = field(default_factory=list)
 
     def apply(self, index: int, entry: Entry) -> Command | None:
-        """The change, if it holds."""
+        """Applies an entry; returns the change if its condition held."""
         self.applied = index
         if entry.kind is not EntryKind.COMMAND:
             return None
@@ -64,22 +64,25 @@
         return command
 
     def dump(self) -> bytes:
+        """Encodes the state for a snapshot."""
         return msgspec.msgpack.encode((self.applied, self.version, self.ids))
 
     @classmethod
     def load(cls, data: bytes) -> Machine:
+        """Decodes a snapshot's state."""
         return cls(*msgspec.msgpack.decode(data, type=tuple[int, int, list[int]]))
 
 
 @dataclass(slots=True)
 class Disk:
-    """What outlives a crash."""
+    """Durable state of an instance; survives a crash."""
 
     hard: HardState = field(default_factory=HardState)
     base: Snapshot | None = None
     entries: dict[int, Entry] = field(default_factory=dict)
 
     def write(self, batch: Batch) -> None:
+        """Writes a batch; entries from its first index on are replaced."""
         if batch.hard_state is not None:
             self.hard = batch.hard_state
         if batch.snapshot is not None:
@@ -90,6 +93,7 @@
             self.entries[batch.first_index + offset] = entry
 
     def log(self) -> Log:
+        """Rebuilds the log from the snapshot and the entries after it."""
         base = self.base
         first = base.index if base is not None else 0
         entries = [self.entries[i] for i in sorted(self.entries) if i > first]
@@ -98,20 +102,22 @@
 
 @dataclass(slots=True)
 class Operation:
-    """A client's call at an instance, and what it was told."""
+    """A client's call at an instance, and its result."""
 
     id: int
     kind: str
-    begun: float
+    started_at: float
     ended: float = math.inf
-    version: int = -1  # that it made, or saw
+    version: int = -1  # version that a change made or a read saw
 
 
 class Node:
-    """One process."""
+    """One process: the core, its clock, and the state machine."""
 
-    def __init__(self, world: World, name: str, disk: Disk, life: int, rate: float, offset: float) -> None:
-        self.world, self.name, self.disk, self.life = world, name, disk, life
+    def __init__(
+        self, world: World, name: str, disk: Disk, incarnation: int, rate: float, offset: float
+    ) -> None:
+        self.world, self.name, self.disk, self.incarnation = world, name, disk, incarnation
         self.rate, self.offset = rate, offset
         self.alive, self.broken = True, False
         self.paused_until = 0.0
@@ -133,20 +139,25 @@
         self.session = world.make_session(self.raft, world.terms, now)
         self.machine = Machine.load(base.data) if base is not None else Machine()
         self.session.mark_applied(self.machine.applied)
-        self.queue: list[Batch] = []  # being written, in order
-        self.seen: dict[str, int] = {}  # newest lives
-        self.calls: dict[int, Operation] = {}  # reads and changes that wait to be certain
-        # By call: the version that its last try builds on, and the number of that proposal.
-        self.proposed: dict[int, tuple[Operation, int, int]] = {}
-        self.later: list[tuple[int, Operation]] = []  # certain from an index on
-        self.armed = math.inf
+        self.queue: list[Batch] = []  # batches to write, in order
+        self.latest_incarnations: dict[str, int] = {}  # by sender
+        self.pending_reads: dict[
+            int, Operation
+        ] = {}  # reads, and changes before their proposal, that wait for a read index
+        # By operation: the base version of its last proposal, and the number of that proposal.
+        self.proposals: dict[int, tuple[Operation, int, int]] = {}
+        self.waiting_for_index: list[
+            tuple[int, Operation]
+        ] = []  # operations that wait until an index is applied
+        self.timer_at = math.inf
 
     def clock(self) -> float:
+        """Reads the process's clock, milliseconds."""
         return self.world.sim.now * self.rate + self.offset
 
-    # -- what the edge does
+    # -- simulated I/O
     def step(self) -> None:
-        """After any event: writes, sends, applies, answers."""
+        """After any event: writes, sends messages, applies entries and answers clients."""
         now = self.clock()
         self.session.collect_reads(now)
         while True:
@@ -160,34 +171,34 @@
             self.world.send(self, to, body)
         self.session.outbox.clear()
         self._apply()
-        self._answer()
-        self._arm()
+        self._serve_reads()
+        self._set_timer()
 
     def _write(self) -> None:
-        """Batches go to the disk one after the other; what is sent waits for it."""
+        """Writes batches one after the other; the messages of a batch wait for its write."""
         while self.queue and not self.queue[0].needs_write:
-            self._sent(self.queue.pop(0))
+            self._send_messages(self.queue.pop(0))
         if self.queue and not self.broken:
-            self.world.sim.after(self.world.disk_ms(), self._written, self.life)
+            self.world.sim.after(self.world.disk_ms(), self._on_written, self.incarnation)
 
-    def _written(self, life: int) -> None:
+    def _on_written(self, incarnation: int) -> None:
         if not self.alive or self.world.nodes[self.name] is not self:
             return
         if self.world.sim.now < self.paused_until:
-            self.waiting.append((self._written, (life,)))
+            self.waiting.append((self._on_written, (incarnation,)))
             return
         batch = self.queue.pop(0)
         self.disk.write(batch)
         if batch.snapshot is not None:
             self.machine = Machine.load(batch.snapshot.data)
             self.session.mark_applied(self.machine.applied)
-            self._jumped()
-        self._sent(batch)
+            self._on_snapshot()
+        self._send_messages(batch)
         self.raft.mark_durable(batch.last_index, batch.last_term)
         self._write()
         self.step()
 
-    def _sent(self, batch: Batch) -> None:
+    def _send_messages(self, batch: Batch) -> None:
         for to, body in batch.messages:
             self.world.send(self, to, body)
 
@@ -196,12 +207,12 @@
         while machine.applied < self.raft.applicable_index:
             index = machine.applied + 1
             if index <= self.raft.log.base_index:
-                break  # a snapshot is on its way to the disk
+                break  # a snapshot is being written
             entry = self.raft.log.entry_at(index)
             command = machine.apply(index, entry)
-            self.world.agreed(self.name, index, entry)
+            self.world.record_applied(self.name, index, entry)
             if entry.kind is EntryKind.COMMAND:
-                self._settle(msgspec.msgpack.decode(entry.data, type=Command), command is not None)
+                self._resolve_proposal(msgspec.msgpack.decode(entry.data, type=Command), command is not None)
         self.session.mark_applied(machine.applied)
         if (
             self.raft.applicable_index - self.raft.log.base_index
@@ -224,79 +235,84 @@
         return Snapshot(index, term, roster, self.machine.dump())
 
     def _compact(self) -> None:
-        """The state is on the disk by itself; here it goes with the log's beginning."""
+        """Stores a snapshot and drops the log before it. The simulated write takes no time."""
         snapshot = self._snapshot()
         self.disk.base = snapshot
         self.raft.compact(snapshot.index)
 
     # -- clients
     def call(self, operation: Operation) -> None:
-        self.calls[self.session.read_index(self.clock())] = operation
+        """Starts a client's operation with a linearizable read."""
+        self.pending_reads[self.session.read_index(self.clock())] = operation
         self.step()
 
-    def _answer(self) -> None:
+    def _serve_reads(self) -> None:
         for number, index in self.session.read_results:
-            operation = self.calls.pop(number, None)
+            operation = self.pending_reads.pop(number, None)
             if operation is not None and index is not None:
-                self.later.append((index, operation))
+                self.waiting_for_index.append((index, operation))
         self.session.read_results.clear()
-        ready = [one for index, one in self.later if index <= self.machine.applied]
-        self.later = [one for one in self.later if one[0] > self.machine.applied]
+        ready = [operation for index, operation in self.waiting_for_index if index <= self.machine.applied]
+        self.waiting_for_index = [
+            operation for operation in self.waiting_for_index if operation[0] > self.machine.applied
+        ]
         for operation in ready:
             if operation.kind == "read":
-                self.world.told(operation, self.machine.version)
+                self.world.finish(operation, self.machine.version)
             else:
                 self._propose(operation)
 
     def _propose(self, operation: Operation) -> None:
         command = Command(operation.id, self.machine.version, 0)
         number = self.session.propose(self.clock(), msgspec.msgpack.encode(command))
-        self.proposed[operation.id] = operation, command.base, number
+        self.proposals[operation.id] = operation, command.base, number
 
-    def _settle(self, command: Command, held: bool) -> None:
-        """A try has come up in the log. An earlier one of the same call says nothing of the last."""
-        found = self.proposed.get(command.id)
-        if found is not None and found[1] == command.base:
-            self._over(found[0], found[2], held)
+    def _resolve_proposal(self, command: Command, accepted: bool) -> None:
+        """Handles an applied proposal. An earlier proposal of the same operation does not decide the last."""
+        proposal = self.proposals.get(command.id)
+        if proposal is not None and proposal[1] == command.base:
+            self._finish_proposal(proposal[0], proposal[2], accepted)
 
-    def _over(self, operation: Operation, number: int, held: bool) -> None:
-        del self.proposed[operation.id]
+    def _finish_proposal(self, operation: Operation, number: int, accepted: bool) -> None:
+        del self.proposals[operation.id]
         self.session.finish_proposal(number)
-        if held:
-            self.world.told(operation, self.machine.version)
-        else:  # somebody else was first: once more
-            self.calls[self.session.read_index(self.clock())] = operation
-
-    def _jumped(self) -> None:
-        """The state came whole, without the entries that led to it."""
-        for operation, base, number in list(self.proposed.values()):
+        if accepted:
+            self.world.finish(operation, self.machine.version)
+        else:  # a concurrent change was first: retry
+            self.pending_reads[self.session.read_index(self.clock())] = operation
+
+    def _on_snapshot(self) -> None:
+        """A snapshot replaced the state, without the entries that led to it."""
+        for operation, base, number in list(self.proposals.values()):
             if operation.id in self.machine.ids:
-                del self.proposed[operation.id]  # its version is not known: the client learns nothing
+                del self.proposals[operation.id]  # its version is unknown: the client gets no answer
                 self.session.finish_proposal(number)
             elif base != self.machine.version:
-                self._over(operation, number, False)
+                self._finish_proposal(operation, number, False)
 
     # -- time
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         due = self.session.next_timer_at
-        if due < math.inf and due != self.armed:
-            self.armed = due
-            self.world.sim.at(max((due - self.offset) / self.rate, self.world.sim.now), self.fire, due)
+        if due < math.inf and due != self.timer_at:
+            self.timer_at = due
+            self.world.sim.at(max((due - self.offset) / self.rate, self.world.sim.now), self.fire_timer, due)
 
-    def fire(self, due: float) -> None:
-        if not self.alive or self.world.nodes[self.name] is not self or due != self.armed:
+    def fire_timer(self, due: float) -> None:
+        """Runs the timer, or defers it while the process is paused."""
+        if not self.alive or self.world.nodes[self.name] is not self or due != self.timer_at:
             return
         if self.world.sim.now < self.paused_until:
-            self.waiting.append((self.fire, (due,)))
+            self.waiting.append((self.fire_timer, (due,)))
             return
-        self.armed = math.inf
-        self.session.tick(max(self.clock(), due))  # a clock is a product of floats
+        self.timer_at = math.inf
+        self.session.tick(max(self.clock(), due))  # float rounding may put the clock just before `due`
         self.step()
 
-    def arrive(self, sender: str, life: int, body: Any) -> None:
-        if life < self.seen.get(sender, 0):
-            return  # of a former life
-        self.seen[sender] = life
+    def receive(self, sender: str, incarnation: int, body: Any) -> None:
+        """Handles a message; those of an earlier incarnation of the sender are dropped."""
+        if incarnation < self.latest_incarnations.get(sender, 0):
+            return
+        self.latest_incarnations[sender] = incarnation
         if isinstance(body, ReadIndex | ReadIndexResponse | Propose | ProposeResponse):
             self.session.handle_message(self.clock(), sender, body)
         else:
@@ -305,13 +321,13 @@
 
 
 class World:
-    """Instances, links, clients, and the judge."""
+    """Instances, network, clients and invariant checks."""
 
     def __init__(
         self,
         names: Iterable[str],
         seed: int,
-        settings: RaftSettings = FAST,
+        settings: RaftSettings = FREQUENT_SNAPSHOTS,
         terms: SessionSettings | None = None,
         make: Callable[..., Raft] = Raft,
         make_session: Callable[..., Session] = Session,
@@ -321,43 +337,48 @@
         self.sim, self.rng = Simulator(), random.Random(seed)
         self.loss = self.doubled = 0.0
         self.delay_ms, self.disk = (0.2, 2.0), (0.1, 3.0)
-        self.late = 0.0  # part of messages that are late by up to a second
+        self.late = 0.0  # share of messages with up to 1 s of additional delay
         self.cut: Callable[[str, str], bool] = lambda a, b: False
-        self.log: dict[int, Entry] = {}  # what is agreed
-        self.by_version: dict[int, int] = {}  # change -> its id
+        self.log: dict[int, Entry] = {}  # committed entries by index
+        self.by_version: dict[int, int] = {}  # version -> id of the change that made it
         self.state = Machine()
         self.broken: list[str] = []
         self.operations: list[Operation] = []
         self.nodes: dict[str, Node] = {}
-        self.first_acted: dict[int, float] = {}  # version -> when the first instance acted on it
-        self.longest = 0.0  # two instances acting on rules that contradict each other
+        self.first_acted_at: dict[int, float] = {}  # by version: when an instance first acted on it
+        self.longest = 0.0  # longest time, ms, that two instances acted on conflicting rules
         self.messages = 0
         self.leaders: dict[int, str] = {}
         for name in self.names:
             self.start(name, Disk())
-        self.sim.after(10.0, self._look)
+        self.sim.after(10.0, self._observe_leases)
 
     def disk_ms(self) -> float:
+        """Draws the latency of a disk write."""
         return self.rng.uniform(*self.disk)
 
     # -- processes
     def start(self, name: str, disk: Disk, rate: float = 1.0) -> None:
+        """Starts a process with a disk and a clock rate."""
         node = Node(self, name, disk, int(self.sim.now * 1e3) + 1, rate, self.rng.uniform(0, 1e6))
         self.nodes[name] = node
         node.step()
 
     def kill(self, name: str) -> None:
+        """Kills a process; its disk stays."""
         self.nodes[name].alive = False
 
     def restart(self, name: str, empty: bool = False, rate: float = 1.0) -> None:
+        """Starts a process again, with its disk or with an empty one."""
         self.start(name, Disk() if empty else self.nodes[name].disk, rate)
 
     def pause(self, name: str, ms: float) -> None:
+        """Pauses a process; messages and timers wait meanwhile."""
         node = self.nodes[name]
         node.paused_until = max(node.paused_until, self.sim.now + ms)
-        self.sim.at(node.paused_until, self._wake, node)
+        self.sim.at(node.paused_until, self._resume, node)
 
-    def _wake(self, node: Node) -> None:
+    def _resume(self, node: Node) -> None:
         if not node.alive or self.sim.now < node.paused_until:
             return
         waiting, node.waiting = node.waiting, []
@@ -365,10 +386,12 @@
             call(*arguments)
 
     def islands(self, *groups: Iterable[str]) -> None:
+        """Partitions the network into these groups."""
         self.cut = between(*groups)
 
     # -- messages
     def send(self, node: Node, to: str, body: Any) -> None:
+        """Sends a message over a link that may lose, duplicate or delay it."""
         self.messages += 1
         if self.cut(node.name, to) or (self.loss and self.rng.random() < self.loss):
             return
@@ -377,19 +400,20 @@
             delay = self.rng.uniform(*self.delay_ms)
             if self.late and self.rng.random() < self.late:
                 delay += self.rng.uniform(0, 1_000.0)
-            self.sim.after(delay, self._arrive, node.name, node.life, to, body)
+            self.sim.after(delay, self._arrive, node.name, node.incarnation, to, body)
 
-    def _arrive(self, sender: str, life: int, to: str, body: Any) -> None:
+    def _arrive(self, sender: str, incarnation: int, to: str, body: Any) -> None:
         node = self.nodes[to]
         if not node.alive:
             return
         if self.sim.now < node.paused_until:
-            node.waiting.append((self._arrive, (sender, life, to, body)))
+            node.waiting.append((self._arrive, (sender, incarnation, to, body)))
             return
-        node.arrive(sender, life, body)
+        node.receive(sender, incarnation, body)
 
     # -- clients
     def operate(self, name: str, kind: str) -> Operation | None:
+        """Starts a client's "read" or "change" at an instance; None where it does not run."""
         node = self.nodes[name]
         if not node.alive or self.sim.now < node.paused_until:
             return None
@@ -398,38 +422,41 @@
         node.call(operation)
         return operation
 
-    def told(self, operation: Operation, version: int) -> None:
+    def finish(self, operation: Operation, version: int) -> None:
+        """Acknowledges an operation to its client."""
         if operation.ended < math.inf:
-            self.broken.append(f"operation {operation.id} was told twice")
+            self.broken.append(f"operation {operation.id} was acknowledged twice")
         operation.ended, operation.version = self.sim.now, version
 
     def run(self, ms: float) -> None:
+        """Advances the simulation."""
         self.sim.run(self.sim.now + ms)
 
     def until(self, holds: Callable[[], bool], most_ms: float, step_ms: float = 10.0) -> float | None:
-        begun = self.sim.now
+        """Runs until a condition holds; returns the time taken in ms, or None after `most_ms`."""
+        started_at = self.sim.now
         while not holds():
-            if self.sim.now - begun >= most_ms:
+            if self.sim.now - started_at >= most_ms:
                 return None
             self.run(step_ms)
-        return self.sim.now - begun
+        return self.sim.now - started_at
 
-    # -- the judge
-    def agreed(self, name: str, index: int, entry: Entry) -> None:
-        """An instance puts an entry in force."""
+    # -- invariants
+    def record_applied(self, name: str, index: int, entry: Entry) -> None:
+        """Checks an entry that an instance applies against the committed log."""
         known = self.log.get(index)
         if known is None:
             self.log[index] = entry
             if index != self.state.applied + 1:
-                self.broken.append(f"{name} puts {index} in force, behind {self.state.applied}")
+                self.broken.append(f"{name} applies {index} after {self.state.applied}")
             if self.state.apply(index, entry) is not None:
                 self.by_version[index] = self.state.ids[-1]
         elif known != entry:
-            self.broken.append(f"{name} has another entry at {index} than was agreed")
+            self.broken.append(f"{name} applies an entry at {index} that differs from the committed one")
 
-    def _look(self) -> None:
-        """Who acts on what now."""
-        self.sim.after(10.0, self._look)
+    def _observe_leases(self) -> None:
+        """Observes periodically which versions instances with a valid lease act on."""
+        self.sim.after(10.0, self._observe_leases)
         now = self.sim.now
         acting = [
             n.machine.version
@@ -441,35 +468,39 @@
         newest, oldest = max(acting), min(acting)
         for version in self.by_version:
             if version <= newest:
-                self.first_acted.setdefault(version, now)
-        if oldest < newest:  # how long the first change that the oldest lacks has been acted on
-            since = min(at for version, at in self.first_acted.items() if version > oldest)
+                self.first_acted_at.setdefault(version, now)
+        if oldest < newest:  # since when the first change that the oldest lacks has been acted on
+            since = min(at for version, at in self.first_acted_at.items() if version > oldest)
             self.longest = max(self.longest, now - since)
 
     def judge(self) -> list[str]:
-        """All that is wrong."""
+        """Returns all violations of the invariants."""
         found = list(self.broken)
-        done = [o for o in self.operations if o.ended < math.inf]
-        for one in done:
-            if one.kind == "change" and self.by_version.get(one.version) != one.id:
-                found.append(f"change {one.id} was told of as {one.version}, which is another or none")
+        finished = [o for o in self.operations if o.ended < math.inf]
+        for operation in finished:
+            if operation.kind == "change" and self.by_version.get(operation.version) != operation.id:
+                found.append(
+                    f"change {operation.id} is acknowledged as {operation.version}, not its own version"
+                )
         if len(set(self.by_version.values())) != len(self.by_version):
-            found.append("a change holds twice")
-        found += self._in_order(done)
+            found.append("a change was applied twice")
+        found += self._check_linearizable(finished)
         if self.longest > self.terms.lease_ms * (1 + self.terms.clock_drift) + 20.0:
-            found.append(f"rules that contradict each other were acted on for {self.longest:.0f} ms")
+            found.append(f"instances acted on conflicting rules for {self.longest:.0f} ms")
         return found
 
-    def _in_order(self, done: list[Operation]) -> list[str]:
-        """The versions are an order of all calls; it must agree with time: what began after another was told
-        saw it, and a change made a later version (linearizable, with the order as its witness)."""
+    def _check_linearizable(self, finished: list[Operation]) -> list[str]:
+        """Checks linearizability with the versions as the witness order: an operation that started after
+        another one was acknowledged must see its version, and a change must make a later one."""
         found = []
-        ended = sorted(done, key=lambda one: one.ended)
-        newest, place = 0, 0
-        for one in sorted(done, key=lambda one: one.begun):
-            while place < len(ended) and ended[place].ended < one.begun:
-                newest = max(newest, ended[place].version)
-                place += 1
-            if one.version < newest or one.kind == "change" and one.version <= newest:
-                found.append(f"{one.kind} {one.id} has version {one.version}, after {newest} was told")
+        ended = sorted(finished, key=lambda operation: operation.ended)
+        newest, position = 0, 0
+        for operation in sorted(finished, key=lambda operation: operation.started_at):
+            while position < len(ended) and ended[position].ended < operation.started_at:
+                newest = max(newest, ended[position].version)
+                position += 1
+            if operation.version < newest or operation.kind == "change" and operation.version <= newest:
+                found.append(
+                    f"{operation.kind} {operation.id} has {operation.version}, {newest} was acknowledged before"
+                )
         return found
--- a/notchflow/emulator/agreement_explorer.py
+++ b/notchflow/emulator/agreement_explorer.py
@@ -1,9 +1,9 @@
-"""All orders of events that an agreement of three can see, in stated bounds: the core itself, nothing else.
+"""Bounded model checking of agreement: all orders of events among three real Raft cores within a scope.
 
-A state is three instances, their disks, and what is under way on each link. From it every next step is taken:
-the first message of any link arrives, is lost or comes twice; a timer fires; a change is proposed; an
-instance crashes and starts again from its disk, or from none. States that were seen before are not gone on
-from. One clock for all: a timer that fires moves it on, so that leases of leaders age as they would.
+A state consists of three instances, their disks, and the messages in flight on each link. Every possible next
+step is taken from it: the first message of a link arrives, is lost or is duplicated; a timer fires; a change
+is proposed; an instance crashes and restarts from its disk or from an empty one. States seen before are not
+expanded again. All instances share one clock, which a firing timer advances, so that leader leases expire.
 """
 
 from __future__ import annotations
@@ -21,24 +21,26 @@
 
 NAMES: Final = ("p1", "p2", "p3")
 LINKS: Final = tuple((a, b) for a in range(3) for b in range(3) if a != b)
-PLACES: Final = {link: place for place, link in enumerate(LINKS)}
+LINK_POSITIONS: Final = {link: position for position, link in enumerate(LINKS)}
 SETTINGS: Final = RaftSettings(trailing_entries=1)
-FIRST: Final = Entry(1, EntryKind.NOOP)
+FIRST_ENTRY: Final = Entry(1, EntryKind.NOOP)
 
 
-class Half:
-    """Draws that are all the same, so that the order of events is the only choice."""
+class ConstantRandom:
+    """Random generator that always gives the same value, so that the order of events is the only choice."""
 
     def random(self) -> float:
+        """Returns 0.5."""
         return 0.5
 
     def getrandbits(self, bits: int) -> int:
+        """Returns 1."""
         return 1
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """How often each may happen, along one line of events."""
+    """How often each kind of event may happen along one path."""
 
     timeouts: int = 1
     beats: int = 0
@@ -49,58 +51,61 @@
     amnesias: int = 0
 
 
-class Brief(NamedTuple):
-    """What of an instance the choice of steps and the judge need."""
+class CoreSummary(NamedTuple):
+    """Summary of an instance for the choice of steps and the invariants."""
 
-    leads: bool
+    is_leader: bool
     term: int
     election_at: float
-    beat_at: float
+    heartbeat_at: float
 
 
 class State(NamedTuple):
-    """Where the three stand. Instances are kept as bytes: a step makes one anew."""
+    """A state of the exploration. Instances are serialized; a step restores one."""
 
     cores: tuple[bytes, ...]
-    briefs: tuple[Brief, ...]
-    links: tuple[tuple[Any, ...], ...]  # under way, in the order of LINKS
-    left: Scope
+    summaries: tuple[CoreSummary, ...]
+    links: tuple[tuple[Any, ...], ...]  # messages in flight, in the order of LINKS
+    remaining: Scope
     now: float = 0.0
-    leaders: tuple[tuple[int, int], ...] = ()  # terms, and who led in them
-    agreed: tuple[Entry, ...] = ()  # all that anybody has held to be agreed
+    leaders: tuple[tuple[int, int], ...] = ()  # terms and their leaders
+    committed: tuple[Entry, ...] = ()  # all entries that an instance held for committed
     changes: int = 0
 
 
 class Step(NamedTuple):
-    """One thing that may happen: to whom, what it does, and what is taken off the bounds and the links."""
+    """A possible step: the instance, its action, and what it takes off the scope and the links."""
 
     text: str
-    who: int
-    act: Callable[[Raft, float], object] | None
-    spent: str = ""
-    drops: tuple[int, ...] = ()  # links whose first message is gone
-    clears: tuple[int, ...] = ()  # links of which nothing is heeded any more
-    at: float = 0.0
-    forgets: bool | None = None  # a start: with its disk, or with none
-
-
-def begin(scope: Scope) -> State:
-    """A log that has begun, and nobody leads: all three have just been started."""
-    rafts = [_raft(name, 0.0, HardState(1, "p1", True), [FIRST]) for name in NAMES]
+    instance: int
+    action: Callable[[Raft, float], object] | None
+    budget: str = ""
+    delivered_links: tuple[int, ...] = ()  # links that lose their first message
+    cleared_links: tuple[int, ...] = ()  # links whose messages are all discarded
+    not_before: float = 0.0
+    loses_disk: bool | None = None  # for a restart: whether the disk is lost
+
+
+def initial_state(scope: Scope) -> State:
+    """Returns the first state: all three have just started, the log has begun, and there is no leader."""
+    rafts = [_raft(name, 0.0, HardState(1, "p1", True), [FIRST_ENTRY]) for name in NAMES]
     return State(
-        tuple(_kept(raft) for raft in rafts), tuple(_brief(raft) for raft in rafts), ((),) * len(LINKS), scope
+        tuple(_serialize(raft) for raft in rafts),
+        tuple(_summarize(raft) for raft in rafts),
+        ((),) * len(LINKS),
+        scope,
     )
 
 
 def _raft(name: str, now: float, hard: HardState, entries: list[Entry]) -> Raft:
-    raft = Raft(name, NAMES, SETTINGS, Half(), now, hard, Log(0, 0, entries))  # type: ignore[arg-type]
+    raft = Raft(name, NAMES, SETTINGS, ConstantRandom(), now, hard, Log(0, 0, entries))  # type: ignore[arg-type]
     raft.start(now)
     return raft
 
 
-def _kept(raft: Raft) -> bytes:
-    """An instance as bytes, the same for the same contents: whatever the order in which votes came (that of a
-    set hangs on the process's hash seed besides), and whichever of equal names is one object."""
+def _serialize(raft: Raft) -> bytes:
+    """Serializes an instance; equal contents give equal bytes, whatever the order in which votes arrived (the
+    order of a set also depends on the hash seed) and whichever equal strings are the same object."""
     raft.votes = set(sorted(raft.votes))
     raft.issued_tickets, raft.received_tickets = (
         dict(sorted(raft.issued_tickets.items())),
@@ -113,116 +118,135 @@
     return file.getvalue()
 
 
-def _brief(raft: Raft) -> Brief:
-    return Brief(raft.role is Role.LEADER, raft.term, raft.election_at, raft.heartbeat_at)
+def _summarize(raft: Raft) -> CoreSummary:
+    return CoreSummary(raft.role is Role.LEADER, raft.term, raft.election_at, raft.heartbeat_at)
 
 
 def steps(state: State) -> Iterator[Step]:
-    """All that may happen next."""
-    left = state.left
-    for place, ((a, b), messages) in enumerate(zip(LINKS, state.links, strict=True)):
+    """Enumerates the possible next steps."""
+    remaining = state.remaining
+    for position, ((a, b), messages) in enumerate(zip(LINKS, state.links, strict=True)):
         if messages:
-            text, heard = f"{NAMES[a]}>{NAMES[b]} {type(messages[0]).__name__}", _hears(a, messages[0])
-            yield Step(text, b, heard, drops=(place,))
-            if left.losses:
-                yield Step(text + " lost", b, None, "losses", (place,))
-            if left.doubles:
-                yield Step(text + " twice", b, heard, "doubles")
-    for who, brief in enumerate(state.briefs):
-        if not brief.leads and left.timeouts:
+            text, deliver = f"{NAMES[a]}>{NAMES[b]} {type(messages[0]).__name__}", _deliver(a, messages[0])
+            yield Step(text, b, deliver, delivered_links=(position,))
+            if remaining.losses:
+                yield Step(text + " lost", b, None, "losses", (position,))
+            if remaining.doubles:
+                yield Step(text + " twice", b, deliver, "doubles")
+    for instance, summary in enumerate(state.summaries):
+        if not summary.is_leader and remaining.timeouts:
             yield Step(
-                f"{NAMES[who]} waits no longer", who, _waits_no_longer, "timeouts", at=brief.election_at
+                f"{NAMES[instance]} waits no longer",
+                instance,
+                _time_out,
+                "timeouts",
+                not_before=summary.election_at,
             )
-        if brief.leads and left.beats:
-            yield Step(f"{NAMES[who]} beats", who, Raft.tick, "beats", at=brief.beat_at)
-        if brief.leads and left.changes:
-            yield Step(f"{NAMES[who]} changes", who, _changes(bytes([state.changes + 1])), "changes")
-        if left.crashes:
-            yield Step(f"{NAMES[who]} crashes", who, None, "crashes", forgets=False)
-        if left.amnesias and state.agreed:
-            own = tuple(PLACES[who, other] for other in range(3) if other != who)
-            yield Step(f"{NAMES[who]} forgets", who, None, "amnesias", clears=own, forgets=True)
-
-
-def _hears(sender: int, body: Any) -> Callable[[Raft, float], object]:
+        if summary.is_leader and remaining.beats:
+            yield Step(
+                f"{NAMES[instance]} beats", instance, Raft.tick, "beats", not_before=summary.heartbeat_at
+            )
+        if summary.is_leader and remaining.changes:
+            yield Step(
+                f"{NAMES[instance]} changes", instance, _propose(bytes([state.changes + 1])), "changes"
+            )
+        if remaining.crashes:
+            yield Step(f"{NAMES[instance]} crashes", instance, None, "crashes", loses_disk=False)
+        if remaining.amnesias and state.committed:
+            own_links = tuple(LINK_POSITIONS[instance, other] for other in range(3) if other != instance)
+            yield Step(
+                f"{NAMES[instance]} forgets",
+                instance,
+                None,
+                "amnesias",
+                cleared_links=own_links,
+                loses_disk=True,
+            )
+
+
+def _deliver(sender: int, body: Any) -> Callable[[Raft, float], object]:
     return lambda raft, now: raft.handle_message(now, NAMES[sender], body)
 
 
-def _changes(data: bytes) -> Callable[[Raft, float], object]:
+def _propose(data: bytes) -> Callable[[Raft, float], object]:
     return lambda raft, now: raft.propose(now, data)
 
 
-def _waits_no_longer(raft: Raft, now: float) -> None:
+def _time_out(raft: Raft, now: float) -> None:
     raft.election_at = now
     raft.tick(now)
 
 
 def take(state: State, step: Step) -> tuple[State, list[str]]:
-    """The state after a step, and what is wrong with it."""
-    now = max(state.now, step.at)
-    left = (
-        replace(state.left, **{step.spent: getattr(state.left, step.spent) - 1}) if step.spent else state.left
+    """Takes a step; returns the next state and the invariants that it violates."""
+    now = max(state.now, step.not_before)
+    remaining = (
+        replace(state.remaining, **{step.budget: getattr(state.remaining, step.budget) - 1})
+        if step.budget
+        else state.remaining
     )
     links = list(state.links)
-    for place in step.drops:
-        links[place] = links[place][1:]
-    for place in step.clears:
-        links[place] = ()
+    for position in step.delivered_links:
+        links[position] = links[position][1:]
+    for position in step.cleared_links:
+        links[position] = ()
     state = state._replace(
-        links=tuple(links), left=left, now=now, changes=state.changes + (step.spent == "changes")
+        links=tuple(links), remaining=remaining, now=now, changes=state.changes + (step.budget == "changes")
     )
-    if step.act is None and step.forgets is None:
+    if step.action is None and step.loses_disk is None:
         return state, []
-    raft: Raft = pickle.loads(state.cores[step.who])
-    if step.forgets is not None:  # of a lost disk nothing is left; messages of a former life are not heeded
+    raft: Raft = pickle.loads(state.cores[step.instance])
+    if step.loses_disk is not None:  # a lost disk leaves nothing
         raft = (
             _raft(raft.name, now, HardState(), [])
-            if step.forgets
+            if step.loses_disk
             else _raft(raft.name, now, HardState(raft.term, raft.voted_for, raft.joined), raft.log.entries)
         )
-    if step.act is not None:
-        step.act(raft, now)
-    return _settled(state, step.who, raft)
+    if step.action is not None:
+        step.action(raft, now)
+    return _complete_step(state, step.instance, raft)
 
 
-def _settled(state: State, who: int, raft: Raft) -> tuple[State, list[str]]:
-    """All is written at once, and what is to be sent is under way then."""
+def _complete_step(state: State, instance: int, raft: Raft) -> tuple[State, list[str]]:
+    """Makes all batches durable, puts their messages in flight and checks the invariants."""
     links = list(state.links)
     while True:
         batch = raft.take_batch()
         if not batch.needs_write and not batch.messages:
             break
         for to, body in batch.messages:
-            links[PLACES[who, NAMES.index(to)]] += (body,)
+            links[LINK_POSITIONS[instance, NAMES.index(to)]] += (body,)
         raft.mark_durable(batch.last_index, batch.last_term)
-    leaders, agreed, found = dict(state.leaders), list(state.agreed), []
+    leaders, committed, problems = dict(state.leaders), list(state.committed), []
     if raft.role is Role.LEADER:
-        if leaders.setdefault(raft.term, who) != who:
-            found.append(f"two lead in term {raft.term}")
-        newest = all(raft.term > one.term for n, one in enumerate(state.briefs) if n != who and one.leads)
-        if newest and raft.log.entries[: len(agreed)] != agreed:
-            found.append(f"{raft.name} leads in term {raft.term} and lacks what is agreed")
+        if leaders.setdefault(raft.term, instance) != instance:
+            problems.append(f"two lead in term {raft.term}")
+        is_newest_leader = all(
+            raft.term > one.term for n, one in enumerate(state.summaries) if n != instance and one.is_leader
+        )
+        if is_newest_leader and raft.log.entries[: len(committed)] != committed:
+            problems.append(f"{raft.name} leads in term {raft.term} and lacks committed entries")
     for index in range(1, raft.commit_index + 1):
         entry = raft.log.entry_at(index)
-        if index > len(agreed):
-            agreed.append(entry)
-        elif agreed[index - 1] != entry:
-            found.append(f"{raft.name} has another entry at {index} than was agreed")
-    cores, briefs = list(state.cores), list(state.briefs)
-    cores[who], briefs[who] = _kept(raft), _brief(raft)
+        if index > len(committed):
+            committed.append(entry)
+        elif committed[index - 1] != entry:
+            problems.append(f"{raft.name} has an entry at {index} that differs from the committed one")
+    cores, summaries = list(state.cores), list(state.summaries)
+    cores[instance], summaries[instance] = _serialize(raft), _summarize(raft)
     return state._replace(
         cores=tuple(cores),
-        briefs=tuple(briefs),
+        summaries=tuple(summaries),
         links=tuple(links),
         leaders=tuple(sorted(leaders.items())),
-        agreed=tuple(agreed),
-    ), found
+        committed=tuple(committed),
+    ), problems
 
 
 def explore(scope: Scope, most: int = 10_000_000) -> tuple[int, list[str], bool]:
-    """Goes through all states in the bounds: how many, what is wrong with the first that is wrong and how it
-    came about, and whether all were gone through."""
-    first = begin(scope)
+    """Explores all states within a scope, up to `most`. Returns the number of states, the violations of the
+    first wrong state with the path to it, and whether the exploration is complete."""
+    first = initial_state(scope)
     seen = {hash(first)}
     stack: list[tuple[State, Any]] = [(first, None)]
     count = 0
@@ -231,19 +255,19 @@
         count += 1
         for step in steps(state):
             try:
-                after, problems = take(state, step)
+                next_state, problems = take(state, step)
             except AssertionError as error:
-                after, problems = state, [str(error)]
+                next_state, problems = state, [str(error)]
             if problems:
-                return count, [*problems, _told((path, step.text))], False
-            key = hash(after)
+                return count, [*problems, _format_path((path, step.text))], False
+            key = hash(next_state)
             if key not in seen:
                 seen.add(key)
-                stack.append((after, (path, step.text)))
+                stack.append((next_state, (path, step.text)))
     return count, [], not stack
 
 
-def _told(path: Any) -> str:
+def _format_path(path: Any) -> str:
     texts = []
     while path is not None:
         path, text = path
--- a/notchflow/emulator/box.py
+++ b/notchflow/emulator/box.py
@@ -96,7 +96,7 @@
         self.jobs: dict[Job, None] = {}  # in order of arrival; the order of a set differs between processes
         self.connections = 0
         self.recent_work: deque[tuple[float, float]] = deque()  # time and work received within the window
-        self.recent_work_ms = 0.0
+        self.pushed = 0.0
         self.peak_overload = 0.0  # maximum of work received while cold over the limit; above 1 the node fails
         self.overloaded_at: float | None = None
         self.arrivals = self.rejected = self.hits = self.misses = 0
@@ -212,13 +212,13 @@
             return
         window_ms, recent = self.rules.fall_ms, self.recent_work
         recent.append((now, work))
-        self.recent_work_ms += work
+        self.pushed += work
         while recent[0][0] <= now - window_ms:
-            self.recent_work_ms -= recent.popleft()[1]
+            self.pushed -= recent.popleft()[1]
         mean_ms = self.fleet.hit_ms
         limit = self.rules.overload_factor * self.capacity(now) * window_ms / mean_ms
         self.peak_overload = max(
-            self.peak_overload, self.recent_work_ms / mean_ms / (limit + 2 * math.sqrt(limit) + 2)
+            self.peak_overload, self.pushed / mean_ms / (limit + 2 * math.sqrt(limit) + 2)
         )
         if self.peak_overload > 1:
             self.overloaded_at = now
--- a/notchflow/emulator/budget_explorer.py
+++ b/notchflow/emulator/budget_explorer.py
@@ -3,7 +3,8 @@
 Three instances share a budget of a few tokens, and two of them demand more than the budget. Faults: the fate
 of each of the first messages (lost, doubled, late within a token's lifetime, or later), one restart of an
 instance during its loans, one pause, and one clock that is slow by the maximum drift. Invariants: the tokens
-usable at any moment, and the requests admitted over any window, stay within the budget."""
+usable at any moment, and the requests admitted over any window, stay within the budget.
+"""
 
 from __future__ import annotations
 
--- a/notchflow/emulator/explorer.py
+++ b/notchflow/emulator/explorer.py
@@ -3,7 +3,8 @@
 A case has at most one lost datagram, one member that is paused or cut off, and one restart, kill or duplicate
 of another; all cases of the scope are run, optionally in parallel. Left out by symmetry: which member is
 restarted (members differ only in their random draws). Not explored: two losses, and orders of arrival that
-the delay model does not draw."""
+the delay model does not draw.
+"""
 
 from __future__ import annotations
 
--- a/notchflow/emulator/members.py
+++ b/notchflow/emulator/members.py
@@ -1,7 +1,8 @@
 """Simulation of membership: the real protocol core over links that lose, duplicate, delay and cut messages.
 
 `Net` decides the fate of each message; `Fleet` starts, kills, pauses and restarts members. Used by the
-explorer (`explorer.py`) and `benchmarks/members.py`."""
+explorer (`explorer.py`) and `benchmarks/members.py`.
+"""
 
 from __future__ import annotations
 
