--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -501,6 +501,6 @@
                 position += 1
             if operation.version < newest or operation.kind == "change" and operation.version <= newest:
                 found.append(
-                    f"{operation.kind} {operation.id} has {operation.version}, {newest} was acknowledged before"
+                    f"{operation.kind} {operation.id} has {operation.version}, {newest} was acknowledged"
                 )
         return found
--- a/notchflow/emulator/budgets.py
+++ b/notchflow/emulator/budgets.py
@@ -44,12 +44,15 @@
         self.budgets = Budgets(name, names, TokenTerms(), rng, now)
 
     def take(self, key: str, now: float, rate: float, burst: float) -> float:
+        """Takes a token; returns 0, or the wait in seconds until one is available."""
         return self.budgets.take(key, now, rate, burst)
 
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
+        """Returns the messages to send, with their receivers."""
         return [*self.budgets.tick(now, present)]
 
     def handle_message(self, now: float, sender: str, incarnation: Incarnation, body: Any) -> Any:
+        """Handles a message; returns its answer, or None."""
         if isinstance(body, LoanRequest):
             return self.budgets.handle_loan_request(now, sender, incarnation, body)
         assert isinstance(body, LoanGrant)
@@ -65,13 +68,16 @@
         self.buckets: dict[str, Bucket] = {}
 
     def take(self, key: str, now: float, rate: float, burst: float) -> float:
+        """Takes a token; returns 0, or the wait in seconds until one is available."""
         bucket = self.buckets.setdefault(key, Bucket(burst * self.share, now / 1e3))
         return bucket.take(now / 1e3, rate * self.share, max(burst * self.share, 1.0))
 
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
+        """Returns the messages to send, with their receivers."""
         return []
 
     def handle_message(self, now: float, sender: str, incarnation: Incarnation, body: Any) -> Any:
+        """Handles a message; returns its answer, or None."""
         return None
 
 
@@ -89,6 +95,7 @@
         self.ticks = 0
 
     def take(self, key: str, now: float, rate: float, burst: float) -> float:
+        """Takes a token; returns 0, or the wait in seconds until one is available."""
         self.requested[key] = self.requested.get(key, 0.0) + 1
         own = max(self.demand.get(key, 0.0), 1.0)
         reported = sum(
@@ -99,6 +106,7 @@
         return bucket.take(now / 1e3, rate * share, max(burst * share, 1.0))
 
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
+        """Returns the messages to send, with their receivers."""
         self.ticks += 1
         for key in self.requested:
             previous = self.demand.get(key, 0.0)
@@ -107,6 +115,7 @@
         return [(name, dict(self.demand)) for name in present] if self.ticks % 4 == 0 else []
 
     def handle_message(self, now: float, sender: str, incarnation: Incarnation, body: Any) -> Any:
+        """Handles a message; returns its answer, or None."""
         for key, demand in body.items():
             self.reported_demand[sender, key] = demand, now
         return None
--- a/notchflow/emulator/engine.py
+++ b/notchflow/emulator/engine.py
@@ -68,6 +68,7 @@
         self.position = 0
 
     def __call__(self) -> float:
+        """Returns the next number."""
         if self.position >= len(self.buffer):
             self.buffer, self.position = self.sample(1024).tolist(), 0
         self.position += 1
--- a/notchflow/emulator/send_explorer.py
+++ b/notchflow/emulator/send_explorer.py
@@ -1,6 +1,6 @@
-"""Every placing of a few events on a few moments, with whole proxies: the placings of `watch_explorer`, each
-with nodes that drain and go, one that comes back under its id, one that moves, and one whose address another
-one takes.
+"""Bounded model checking with whole proxies: the placements of `watch_explorer`, each with nodes that drain
+and are removed, one that returns under its id, one that changes its address, and one whose address another
+takes.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from notchflow.emulator.watches import Day
 
 PLANS: tuple[Plan, ...] = (
-    (("n1", "draining", 1), ("n1", "removed", 1), ("n1", "up", 1)),  # gone, and back
+    (("n1", "draining", 1), ("n1", "removed", 1), ("n1", "up", 1)),  # removed and back
     (("n1", "draining", 1), ("n2", "draining", 2), ("n1", "up", 4)),  # back at another address
-    (("n1", "up", 4), ("n2", "up", 1), ("n3", "draining", 3)),  # its address is another one's
+    (("n1", "up", 4), ("n2", "up", 1), ("n3", "draining", 3)),  # its address is taken by another node
 )
 
-GRACES_MS = (250.0, 250.0, 100.0)
+DRAIN_GRACES_MS = (250.0, 250.0, 100.0)
 
 
-def placed(asked: bool, moments: tuple[float, ...]) -> Iterator[tuple[Day, Plan]]:
-    """All days. The last plan's drains have a grace that a dial may outlast."""
+def schedules(asked: bool, moments: tuple[float, ...]) -> Iterator[tuple[Day, Plan]]:
+    """Enumerates all days. The last plan has a drain grace shorter than a dial may take."""
     for day, (number, plan) in product(days(asked, moments), enumerate(PLANS)):
-        yield replace(day, grace_ms=GRACES_MS[number]), plan
+        yield replace(day, grace_ms=DRAIN_GRACES_MS[number]), plan
 
 
-def play(placing: tuple[Day, Plan], make: Callable[..., WatchedHost] = WatchedHost) -> tuple[int, list[str]]:
-    """How many requests were made, and what is broken."""
-    world = Sends(*placing, make)
-    broken = world.judged()
+def play(case: tuple[Day, Plan], make: Callable[..., WatchedHost] = WatchedHost) -> tuple[int, list[str]]:
+    """Simulates a day; returns the number of requests and the violations."""
+    world = Sends(*case, make)
+    broken = world.run()
     return world.requests, broken
 
 
 def explore(
-    placings: list[tuple[Day, Plan]], processes: int | None = None
+    cases: list[tuple[Day, Plan]], processes: int | None = None
 ) -> tuple[int, list[tuple[tuple[Day, Plan], list[str]]]]:
-    """How many requests were made, and the days that broke something."""
+    """Simulates the days in parallel; returns the number of requests and the days with violations."""
     with ProcessPoolExecutor(processes, initializer=logging.disable) as pool:
-        ended = list(pool.map(play, placings, chunksize=8))
+        results = list(pool.map(play, cases, chunksize=8))
     return (
-        sum(requests for requests, _ in ended),
-        [(placing, broken) for placing, (_, broken) in zip(placings, ended, strict=True) if broken],
+        sum(requests for requests, _ in results),
+        [(case, broken) for case, (_, broken) in zip(cases, results, strict=True) if broken],
     )
--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -1,8 +1,9 @@
-"""A fleet that follows one list, in simulated time: real watches and the real module's word on when to call,
-against a discovery with a queue or an agent at each proxy, and a judge that holds them to the operators'
-terms.
+"""Simulation of a fleet that follows one node list: real watches, and the real policy that decides when to
+call, against a discovery service with a queue or an agent beside each proxy. A checker holds them to the
+operators' rules.
 
-The judge knows the page on when a change counts as told, and nothing of the watch. Times are milliseconds.
+The checker implements the rules on when a change counts as announced, and knows nothing of the watch's
+implementation. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -17,49 +18,52 @@
 from notchflow.net.watch import ApplyList, CancelCall, ListWatch, ReportFailure, StartCall, WatchAction
 from notchflow.policy.balancer import Balancer
 
-TRIP_MS: Final = 0.3
-QUEUE_MS: Final = 2_000.0  # what would take longer is turned away
-WORK_MAX_MS: Final = 1_000.0  # of one call: in a small fleet no call would be taken otherwise
-OLD_CLOSES_MS: Final = 1_500.0  # after a move
-SILENCE_MS: Final = 6_000.0  # after it fell silent, what a watch misses counts as told,
-FAILED_MS: Final = 6_000.0  # and any change after a call that failed, was refused or was given up
-WAIT_OVER_MS: Final = 2_000.0  # or so long after its wait is over, if that is later
-HANGUP_MS: Final = 4_000.0  # and what there is to tell, after SIGHUP
-SLACK_MS: Final = 50.0  # on sockets, beside the grace
-SOMEBODY: Final = (Member(1),)
+ONE_WAY_MS: Final = 0.3
+QUEUE_MS: Final = 2_000.0  # calls that would wait longer are rejected
+WORK_MAX_MS: Final = (
+    1_000.0  # bound on the work of a call: in a small fleet no call would be accepted otherwise
+)
+OLD_CLOSES_MS: Final = 1_500.0  # after a move, the former address closes its connections
+# A change that a silent watch misses counts as announced so long after the watch fell silent,
+SILENCE_MS: Final = 6_000.0
+FAILED_MS: Final = 6_000.0  # and any change so long after a call that failed, was rejected or was cancelled
+WAIT_OVER_MS: Final = 2_000.0  # or this long after the end of the watch's wait, if that is later
+HANGUP_MS: Final = 4_000.0  # pending changes count as announced this long after SIGHUP
+SLACK_MS: Final = 50.0  # allowance for sockets, in addition to the grace
+ONE_MEMBER: Final = (Member(1),)
 
-Maker = Callable[[int, bool, int, Rules], ListWatch]
+WatchFactory = Callable[[int, bool, int, Rules], ListWatch]
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """What happens, and when. Each of the tuples holds times."""
+    """Events of a day. Each tuple holds times, or times with a proxy's number."""
 
     proxies: int = 6
     asked: bool = True
-    all_call_ms: float = 8_000.0  # in which discovery can take a call from each proxy
+    all_call_ms: float = 8_000.0  # time in which discovery can accept one call from every proxy
     ask_within_ms: float = 10_000.0
     grace_ms: float = 250.0
     changes: tuple[float, ...] = ()  # a node begins to drain
-    silences: tuple[float, ...] = ()  # all that is open then is never answered
+    silences: tuple[float, ...] = ()  # calls open then are never answered
     resets: tuple[float, ...] = ()
-    cuts: tuple[tuple[float, int], ...] = ()  # the next answer to this proxy ends in the middle
+    cuts: tuple[tuple[float, int], ...] = ()  # the next answer to this proxy is cut off
     older: tuple[tuple[float, int], ...] = ()  # the next answer to this proxy is an older list
-    downs: tuple[tuple[float, float], ...] = ()  # from, to
-    moves: tuple[float, ...] = ()  # SIGHUP at all proxies: discovery is elsewhere
-    restarts: tuple[tuple[float, int], ...] = ()  # a process starts anew with the first list
+    downs: tuple[tuple[float, float], ...] = ()  # start and end of an outage of discovery
+    moves: tuple[float, ...] = ()  # SIGHUP at all proxies: discovery has another address
+    restarts: tuple[tuple[float, int], ...] = ()  # a process restarts with the first list
     length_ms: float = 90_000.0
     seed: int = 1
 
 
 @dataclass(eq=False, slots=True)
-class Line:
-    """A call as discovery sees it."""
+class Call:
+    """A call as discovery sees it. `watching`: accepted, and waits for a change."""
 
     follower: Follower
-    ask: StartCall
+    request: StartCall
     begun_at: float
-    place: int  # which of discovery's addresses it goes to
+    address: int  # number of discovery's address that it goes to
     open: bool = True
     watching: bool = False
     silent_at: float | None = None
@@ -67,23 +71,25 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What became of a day."""
+    """Result of a day: violations and metrics."""
 
     broken: list[str] = field(default_factory=list)
-    slack_ms: float = float("inf")  # the least that was left of the time allowed where no watch told
-    age_ms: float = 0.0  # the longest that a proxy went on without a change
+    slack_ms: float = float("inf")  # least time left before the limit, without counting answers of watches
+    age_ms: float = 0.0  # longest time that a proxy ran without a change
     calls: int = 0
     refused: int = 0
-    by_second: dict[int, int] = field(default_factory=dict)  # calls that came in, but for those that go on
+    by_second: dict[int, int] = field(
+        default_factory=dict
+    )  # calls received, without those that follow an answer
 
     @property
     def busiest(self) -> int:
-        """Calls in the fullest second after the first ten, in which all start."""
+        """Calls in the busiest second, without the first ten, in which all proxies start."""
         return max((n for second, n in self.by_second.items() if second >= 10), default=0)
 
 
 class Follower:
-    """One proxy's process: its watch, and the module where that decides."""
+    """One proxy's process: its watch, and the policy that decides when to call."""
 
     def __init__(self, world: World, number: int, revision: int) -> None:
         self.world, self.number = world, number
@@ -91,124 +97,134 @@
         self.alive = True
         day = world.day
         self.watch = world.make(revision, day.asked, day.seed * 1_000 + number, world.settings.rules)
-        self.module = Balancer(world.settings, day.seed * 1_000 + number, world.sim.now)
-        self.lines: dict[int, Line] = {}
+        self.policy = Balancer(world.settings, day.seed * 1_000 + number, world.sim.now)
+        self.calls: dict[int, Call] = {}
         self.last_call_at, self.last_failed = world.sim.now, False
-        self.failed_at: float | None = None  # the first call to come to nothing since discovery took one
+        self.failed_at: float | None = None  # first failed call since discovery last accepted one
         self.answered_at = self.refused_at = -float("inf")
         self.ready_at = world.sim.now if day.asked else float("inf")
-        self.wake_for = float("inf")
-        self.tell(Membership(ListKind.CACHED, (), revision))
+        self.timer_at = float("inf")
+        self.notify_policy(Membership(ListKind.CACHED, (), revision))
         if not day.asked:
-            world.sim.after(500.0, self.be_ready)  # whether the agent was heard or not
-            self.do(self.watch.set_wanted(world.sim.now, True))
+            world.sim.after(500.0, self.mark_ready)  # with or without an answer of the agent
+            self.perform(self.watch.set_wanted(world.sim.now, True))
 
-    def be_ready(self) -> None:
+    def mark_ready(self) -> None:
+        """Marks the proxy as ready for clients."""
         self.ready_at = min(self.ready_at, self.world.sim.now)
 
-    def tell(self, event: Membership) -> None:
-        for action in self.module.handle(self.world.sim.now, event):
+    def notify_policy(self, event: Membership) -> None:
+        """Passes a list event to the policy and sets the timer that it asks for."""
+        for action in self.policy.handle(self.world.sim.now, event):
             if isinstance(action, SetTimer) and action.token == "watch":
                 self.world.sim.at(action.at, self.timer)
 
-    def move(self) -> None:
-        """SIGHUP: discovery is elsewhere."""
-        self.do(self.watch.restart(self.world.sim.now))
+    def reload(self) -> None:
+        """Handles SIGHUP: discovery has another address."""
+        self.perform(self.watch.restart(self.world.sim.now))
 
-    def end(self) -> None:
-        """The process is killed."""
+    def kill(self) -> None:
+        """Kills the process; its calls end."""
         self.alive = False
-        for line in list(self.lines.values()):
-            self.close(line)
+        for call in list(self.calls.values()):
+            self.close(call)
 
     def timer(self) -> None:
+        """Handles the policy's timer: a list is wanted."""
         if self.alive:
-            self.do(self.watch.set_wanted(self.world.sim.now, True))
+            self.perform(self.watch.set_wanted(self.world.sim.now, True))
 
     def wake(self, due: float) -> None:
-        if self.alive and due == self.wake_for:
-            self.wake_for = float("inf")
-            self.do(self.watch.wake(self.world.sim.now))
-
-    def answered(self, line: Line, listing: NodeList) -> None:
-        if line.open and self.alive:
-            self.close(line)
+        """Runs the watch's timer, unless another one has replaced it."""
+        if self.alive and due == self.timer_at:
+            self.timer_at = float("inf")
+            self.perform(self.watch.wake(self.world.sim.now))
+
+    def answered(self, call: Call, listing: NodeList) -> None:
+        """Records the answer of a call and delivers it."""
+        if call.open and self.alive:
+            self.close(call)
             self.failed_at, self.answered_at = None, self.world.sim.now
-            self.world.judge.wrote(self, listing.revision)
-            self.deliver(line, listing)
+            self.world.checker.record_answer(self, listing.revision)
+            self.deliver(call, listing)
 
-    def failed(self, line: Line, problem: str) -> None:
-        if line.open and self.alive:
-            self.close(line)
+    def failed(self, call: Call, problem: str) -> None:
+        """Records the failure of a call and delivers it."""
+        if call.open and self.alive:
+            self.close(call)
             self.last_failed = True
             self.failed_at = self.world.sim.now if self.failed_at is None else self.failed_at
             if problem == "status 503":
                 self.refused_at = self.world.sim.now
-            self.refuse(line, problem)
-
-    def deliver(self, line: Line, listing: NodeList) -> None:
-        """The answer has arrived."""
-        self.do(self.watch.answered(self.world.sim.now, line.ask.number, listing, False))
-
-    def refuse(self, line: Line, problem: str) -> None:
-        """The call has come to nothing."""
-        self.do(self.watch.failed(self.world.sim.now, line.ask.number, problem))
-
-    def close(self, line: Line) -> None:
-        line.open = False
-        self.lines.pop(line.ask.number, None)
-
-    def give_up(self, line: Line) -> None:
-        """A call is waited for no longer. Where discovery has taken another, that one is the watch."""
-        self.close(line)
-        taken = any(li.watching or li.silent_at is not None for li in self.lines.values())
-        answered = self.answered_at >= line.begun_at  # a later one was: this one has been replaced
-        if not taken and not answered and self.failed_at is None:
+            self.refuse(call, problem)
+
+    def deliver(self, call: Call, listing: NodeList) -> None:
+        """Passes an answer to the watch."""
+        self.perform(self.watch.answered(self.world.sim.now, call.request.number, listing, False))
+
+    def refuse(self, call: Call, problem: str) -> None:
+        """Passes the failure of a call to the watch."""
+        self.perform(self.watch.failed(self.world.sim.now, call.request.number, problem))
+
+    def close(self, call: Call) -> None:
+        """Ends a call."""
+        call.open = False
+        self.calls.pop(call.request.number, None)
+
+    def give_up(self, call: Call) -> None:
+        """Cancels a call. It counts as failed unless discovery has accepted or answered a later one."""
+        self.close(call)
+        accepted = any(c.watching or c.silent_at is not None for c in self.calls.values())
+        answered = self.answered_at >= call.begun_at  # a later call was answered and replaces this one
+        if not accepted and not answered and self.failed_at is None:
             self.failed_at = self.world.sim.now
 
-    def do(self, actions: list[WatchAction]) -> None:
+    def perform(self, actions: list[WatchAction]) -> None:
+        """Performs the watch's actions and sets its timer."""
         world = self.world
         for action in actions:
             match action:
                 case StartCall(number):
-                    line = self.lines[number] = Line(self, action, world.sim.now, world.place)
+                    call = self.calls[number] = Call(self, action, world.sim.now, world.address)
                     self.last_call_at, self.last_failed = world.sim.now, False
-                    world.sim.after(TRIP_MS, world.called, line)
+                    world.sim.after(ONE_WAY_MS, world.receive_call, call)
                 case CancelCall(number):
-                    self.give_up(self.lines[number])
+                    self.give_up(self.calls[number])
                 case ApplyList(listing, kind):
-                    self.be_ready()
-                    world.judge.has(self, listing.revision)
-                    self.tell(Membership(kind, (), listing.revision))
+                    self.mark_ready()
+                    world.checker.record_applied(self, listing.revision)
+                    self.notify_policy(Membership(kind, (), listing.revision))
                 case ReportFailure(_, watched) if not watched:
-                    self.tell(Membership(ListKind.FAILED))
+                    self.notify_policy(Membership(ListKind.FAILED))
         due = self.watch.wake_at
-        if due < float("inf") and due != self.wake_for:
-            self.wake_for = due
+        if due < float("inf") and due != self.timer_at:
+            self.timer_at = due
             world.sim.at(due, self.wake, due)
 
 
 class World:
-    """Discovery, as one service or as an agent beside each proxy, and the day's faults."""
+    """Discovery, as one service or as an agent beside each proxy, and the faults of the day."""
 
-    def __init__(self, day: Day, make: Maker = ListWatch) -> None:
+    def __init__(self, day: Day, make: WatchFactory = ListWatch) -> None:
         self.day, self.make = day, make
         self.sim = Simulator()
-        self.settings = self.deployment(Rules(ask_within_ms=day.ask_within_ms, drain_grace_ms=day.grace_ms))
+        self.settings = self.proxy_settings(
+            Rules(ask_within_ms=day.ask_within_ms, drain_grace_ms=day.grace_ms)
+        )
         self.revision = 0
-        self.place = 0
+        self.address = 0
         self.down = False
         self.back_at = 0.0
         self.busy_until = 0.0
-        self.cut: set[int] = set()
-        self.stale: set[int] = set()
+        self.cut_next_answer: set[int] = set()
+        self.serve_older_list: set[int] = set()
         self.answered_at: dict[int, float] = {}
         self.verdict = Verdict()
-        self.judge = Judge(self)
-        self.followers = [self.begin(number) for number in range(day.proxies)]
+        self.checker = ComplianceChecker(self)
+        self.followers = [self.start_proxy(number) for number in range(day.proxies)]
 
-    def deployment(self, rules: Rules) -> Settings:
-        """What every proxy is told at its start."""
+    def proxy_settings(self, rules: Rules) -> Settings:
+        """Returns the settings of every proxy."""
         return Settings(
             classes=(RequestClass("read", 300, 1_000),),
             zone="a",
@@ -218,12 +234,12 @@
             rules=rules,
         )
 
-    def begin(self, number: int) -> Follower:
-        """A proxy's process starts, with the first list."""
+    def start_proxy(self, number: int) -> Follower:
+        """Starts a proxy's process with the first list."""
         return Follower(self, number, 0)
 
     def play(self) -> Verdict:
-        """Goes through the day."""
+        """Simulates the day and returns its result."""
         day, sim = self.day, self.sim
         for at in day.changes:
             sim.at(at, self.change)
@@ -232,9 +248,9 @@
         for at in day.resets:
             sim.at(at, self.reset)
         for at, number in day.cuts:
-            sim.at(at, self.cut.add, number)
+            sim.at(at, self.cut_next_answer.add, number)
         for at, number in day.older:
-            sim.at(at, self.stale.add, number)
+            sim.at(at, self.serve_older_list.add, number)
         for start, end in day.downs:
             sim.at(start, self.go_down)
             sim.at(end, self.come_back)
@@ -245,192 +261,212 @@
         sim.run(day.length_ms)
         return self.verdict
 
-    def open_lines(self) -> list[Line]:
-        """All calls that are out now."""
-        return [line for follower in self.followers for line in follower.lines.values()]
+    def open_lines(self) -> list[Call]:
+        """Returns all open calls."""
+        return [call for follower in self.followers for call in follower.calls.values()]
 
     # -- faults
     def change(self) -> None:
+        """Creates a new revision of the list."""
         self.revision += 1
-        self.judge.changed(self.revision)
+        self.checker.record_change(self.revision)
         if not self.down:
-            self.tell_all()
+            self.notify_watches()
 
-    def tell_all(self) -> None:
-        for line in self.open_lines():
-            if line.watching:
-                self.answer(line)
+    def notify_watches(self) -> None:
+        """Answers all watches."""
+        for call in self.open_lines():
+            if call.watching:
+                self.answer(call)
 
     def silence(self) -> None:
+        """Makes all open calls silent: they are never answered."""
         for follower in self.followers:
-            for line in follower.lines.values():
-                line.silent_at = self.sim.now if line.silent_at is None else line.silent_at
-                line.watching = False
-            self.judge.silenced(follower)
+            for call in follower.calls.values():
+                call.silent_at = self.sim.now if call.silent_at is None else call.silent_at
+                call.watching = False
+            self.checker.record_silence(follower)
 
     def reset(self) -> None:
-        for line in self.open_lines():
-            line.follower.failed(line, "connection lost")
+        """Resets the connections of all calls."""
+        for call in self.open_lines():
+            call.follower.failed(call, "connection lost")
 
     def go_down(self) -> None:
+        """Begins an outage of discovery."""
         self.down = True
         if self.day.asked:
-            for line in [li for li in self.open_lines() if li.watching]:
-                self.refuse(line)
+            for call in [c for c in self.open_lines() if c.watching]:
+                self.refuse(call)
 
     def come_back(self) -> None:
+        """Ends an outage and answers all watches."""
         self.down, self.back_at = False, self.sim.now
-        self.tell_all()
+        self.notify_watches()
 
     def move(self) -> None:
-        self.place += 1
+        """Moves discovery to another address and sends SIGHUP to all proxies."""
+        self.address += 1
         old = self.open_lines()
         for follower in self.followers:
-            follower.move()
-        for line in old:
-            self.sim.after(OLD_CLOSES_MS, line.follower.failed, line, "connection lost")
+            follower.reload()
+        for call in old:
+            self.sim.after(OLD_CLOSES_MS, call.follower.failed, call, "connection lost")
 
     def restart(self, number: int) -> None:
-        self.followers[number].end()
-        self.followers[number] = self.begin(number)
-        self.judge.restarted(self.followers[number])
+        """Kills a proxy's process and starts another one."""
+        self.followers[number].kill()
+        self.followers[number] = self.start_proxy(number)
+        self.checker.forget(self.followers[number])
 
     # -- calls
-    def called(self, line: Line) -> None:
-        if not line.open:
+    def receive_call(self, call: Call) -> None:
+        """Receives a call: rejects it, queues it or accepts it."""
+        if not call.open:
             return
-        number = line.follower.number
+        number = call.follower.number
         follows = self.sim.now <= self.answered_at.get(number, -1e9) + 200.0
         self.verdict.calls += 1
-        if line.place != self.place:
-            self.refuse(line)
+        if call.address != self.address:
+            self.refuse(call)
         elif not self.day.asked or follows:
-            self.worked(line)
+            self.accept_call(call)
         elif self.down:
-            self.sim.after(QUEUE_MS, self.refuse, line)
+            self.sim.after(QUEUE_MS, self.refuse, call)
         else:
             second = int(self.sim.now // 1_000)
             self.verdict.by_second[second] = self.verdict.by_second.get(second, 0) + 1
             work = min(self.day.all_call_ms / self.day.proxies, WORK_MAX_MS)
             done = max(self.busy_until, self.sim.now) + work
             if done - self.sim.now > QUEUE_MS:
-                self.refuse(line)
+                self.refuse(call)
             else:
                 self.busy_until = done
-                self.sim.at(done, self.worked, line)
+                self.sim.at(done, self.accept_call, call)
 
-    def worked(self, line: Line) -> None:
-        if not line.open or line.silent_at is not None:
+    def accept_call(self, call: Call) -> None:
+        """Accepts a call: answers it at once, or watches until a change or the end of the wait."""
+        if not call.open or call.silent_at is not None:
             return
         if self.down and self.day.asked:
-            self.refuse(line)
+            self.refuse(call)
             return
-        line.watching = True
-        line.follower.failed_at = None
-        if not self.down and (line.ask.revision is None or line.ask.revision < self.revision):
-            self.answer(line)
+        call.watching = True
+        call.follower.failed_at = None
+        if not self.down and (call.request.revision is None or call.request.revision < self.revision):
+            self.answer(call)
         else:
-            self.sim.at(line.begun_at + line.ask.wait_ms, self.wait_over, line)
-
-    def wait_over(self, line: Line) -> None:
-        if line.open and line.watching and not self.down:
-            self.answer(line)
-
-    def answer(self, line: Line) -> None:
-        line.watching = False
-        follower = line.follower
-        if follower.number in self.cut:
-            self.cut.discard(follower.number)
-            self.sim.after(TRIP_MS, follower.failed, line, "connection lost")
+            self.sim.at(call.begun_at + call.request.wait_ms, self.wait_over, call)
+
+    def wait_over(self, call: Call) -> None:
+        """Answers a watch at the end of its wait."""
+        if call.open and call.watching and not self.down:
+            self.answer(call)
+
+    def answer(self, call: Call) -> None:
+        """Sends the answer of a call, with the day's faults."""
+        call.watching = False
+        follower = call.follower
+        if follower.number in self.cut_next_answer:
+            self.cut_next_answer.discard(follower.number)
+            self.sim.after(ONE_WAY_MS, follower.failed, call, "connection lost")
             return
         self.answered_at[follower.number] = self.sim.now
-        revision, whole = self.revision, line.ask.revision is None
-        if follower.number in self.stale and revision > 0:
-            self.stale.discard(follower.number)
+        revision, whole = self.revision, call.request.revision is None
+        if follower.number in self.serve_older_list and revision > 0:
+            self.serve_older_list.discard(follower.number)
             revision = max(revision - 2, 0)
-        listing = NodeList(revision, whole, SOMEBODY if whole else ())
-        self.sim.after(TRIP_MS, follower.answered, line, listing)
+        listing = NodeList(revision, whole, ONE_MEMBER if whole else ())
+        self.sim.after(ONE_WAY_MS, follower.answered, call, listing)
 
-    def refuse(self, line: Line) -> None:
+    def refuse(self, call: Call) -> None:
+        """Rejects a call with 503."""
         self.verdict.refused += 1
-        self.sim.after(TRIP_MS, line.follower.failed, line, "status 503")
+        self.sim.after(ONE_WAY_MS, call.follower.failed, call, "status 503")
 
 
-class Judge:
-    """When each change counts as told to each proxy, by the operators' page, and when that has it."""
+class ComplianceChecker:
+    """Checks that each proxy applies each change in time: when a change counts as announced to a proxy by the
+    operators' rules, and when the proxy has applied it."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.made_at: dict[int, float] = {}
-        self.written: dict[tuple[int, int], float] = {}  # proxy, revision: since when it counts for certain
-        self.known: dict[int, int] = {}
-        self.missed: dict[tuple[int, int], float] = {}  # and when, where a silent watch was all that it had
-
-    def changed(self, revision: int) -> None:
+        self.announced_at: dict[
+            tuple[int, int], float
+        ] = {}  # by proxy and revision: when it was certainly announced
+        self.known_revisions: dict[int, int] = {}
+        self.missed_at: dict[tuple[int, int], float] = {}  # the same where only silent watches were open
+
+    def record_change(self, revision: int) -> None:
+        """Records a new revision."""
         self.made_at[revision] = self.world.sim.now
         for follower in self.world.followers:
-            self.silenced(follower)
+            self.record_silence(follower)
             self.world.sim.after(0.0, self.check, follower, revision)
 
-    def silenced(self, follower: Follower) -> None:
-        """What is not known yet is missed where nothing but silent watches is open."""
+    def record_silence(self, follower: Follower) -> None:
+        """Records the pending changes as missed where only silent watches are open."""
         told = [
-            max(li.silent_at + SILENCE_MS, li.begun_at + li.ask.wait_ms + WAIT_OVER_MS)
-            for li in follower.lines.values()
-            if li.silent_at is not None
+            max(c.silent_at + SILENCE_MS, c.begun_at + c.request.wait_ms + WAIT_OVER_MS)
+            for c in follower.calls.values()
+            if c.silent_at is not None
         ]
-        if told and len(told) == len(follower.lines):
-            for revision, made in self.made_at.items():
+        if told and len(told) == len(follower.calls):
+            for revision, made_at in self.made_at.items():
                 if revision > (follower.watch.revision or 0):
-                    self.missed.setdefault((follower.number, revision), max(made, min(told)))
+                    self.missed_at.setdefault((follower.number, revision), max(made_at, min(told)))
 
-    def restarted(self, follower: Follower) -> None:
-        self.known.pop(follower.number, None)
+    def forget(self, follower: Follower) -> None:
+        """Forgets what a restarted proxy knew."""
+        self.known_revisions.pop(follower.number, None)
         for revision in self.made_at:
-            self.written.pop((follower.number, revision), None)
-            self.missed.pop((follower.number, revision), None)
+            self.announced_at.pop((follower.number, revision), None)
+            self.missed_at.pop((follower.number, revision), None)
             self.check(follower, revision)
 
-    def wrote(self, follower: Follower, revision: int) -> None:
-        """An answer has arrived: it counts from when it was written. What is reset on its way is lost."""
+    def record_answer(self, follower: Follower, revision: int) -> None:
+        """Records an answer that has arrived; it counts from the time at which it was sent. Answers reset on
+        the way do not count."""
         for known in self.made_at:
             if known <= revision:
-                self.written.setdefault((follower.number, known), self.world.sim.now - TRIP_MS)
+                self.announced_at.setdefault((follower.number, known), self.world.sim.now - ONE_WAY_MS)
 
-    def due(self, follower: Follower, revision: int, written: bool = True) -> float:
-        """When the change counts as told, as far as is known now. `written`: or has been written."""
-        world, made = self.world, self.made_at[revision]
+    def announced_by(self, follower: Follower, revision: int, announced: bool = True) -> float:
+        """Returns when a change counts as announced, as known now. `written`: also by an answer that was
+        sent."""
+        world, made_at = self.world, self.made_at[revision]
         day, now = world.day, world.sim.now
-        best = self.written.get((follower.number, revision), float("inf")) if written else float("inf")
-        missed = self.missed.get((follower.number, revision))
-        reached = self._reached(follower)
-        if missed is not None:
-            best = min(best, max(missed, reached))
-        elif any(li.watching for li in follower.lines.values()):
-            pass  # that one tells
+        best = self.announced_at.get((follower.number, revision), float("inf")) if announced else float("inf")
+        missed_at = self.missed_at.get((follower.number, revision))
+        reached = self._reachable_by(follower)
+        if missed_at is not None:
+            best = min(best, max(missed_at, reached))
+        elif any(c.watching for c in follower.calls.values()):
+            pass  # the watch announces it
         elif not day.asked:
-            # An agent that is silent cannot be asked: whoever began since then is told at its return.
-            unheard = world.down and max(made, follower.started_at) > self._down_since()
-            best = min(best, float("inf") if unheard else max(made, world.back_at))
+            # An agent that is down cannot be called: a proxy started since gets the change at its return.
+            unreachable = world.down and max(made_at, follower.started_at) > self._down_since()
+            best = min(best, float("inf") if unreachable else max(made_at, world.back_at))
         else:
             held = day.ask_within_ms * (4 if follower.last_failed else 1)
             best = min(
                 best,
                 max(
-                    made + day.ask_within_ms,
+                    made_at + day.ask_within_ms,
                     follower.last_call_at + held,
                     world.back_at + day.ask_within_ms if world.back_at else 0.0,
                     float("inf") if world.down else 0.0,
                 ),
             )
-        if follower.failed_at is not None and not any(li.watching for li in follower.lines.values()):
-            best = min(best, max(made + FAILED_MS, follower.failed_at + FAILED_MS, reached))
+        if follower.failed_at is not None and not any(c.watching for c in follower.calls.values()):
+            best = min(best, max(made_at + FAILED_MS, follower.failed_at + FAILED_MS, reached))
         moved = max((at for at in day.moves if at <= now), default=-1e9)
         return max(best, moved + HANGUP_MS, follower.ready_at)
 
-    def _reached(self, follower: Follower) -> float:
-        """When so much time has passed since discovery could be reached that all must be known. Where it is
-        asked, who is turned away could not reach it."""
+    def _reachable_by(self, follower: Follower) -> float:
+        """Returns when discovery has been reachable for so long that all changes must be known. A proxy whose
+        call was rejected could not reach it (in the mode in which lists are requested)."""
         world = self.world
         if not world.day.asked:
             return 0.0
@@ -439,35 +475,35 @@
     def _down_since(self) -> float:
         return max((start for start, _ in self.world.day.downs if start <= self.world.sim.now), default=1e18)
 
-    def limit(self, follower: Follower, revision: int, written: bool = True) -> float:
-        """By when it must be acted on."""
-        return self.due(follower, revision, written) + self.world.day.grace_ms + SLACK_MS
+    def limit(self, follower: Follower, revision: int, announced: bool = True) -> float:
+        """Returns by when a proxy must have applied a change."""
+        return self.announced_by(follower, revision, announced) + self.world.day.grace_ms + SLACK_MS
 
     def check(self, follower: Follower, revision: int) -> None:
-        """Looks again when the time allowed may be over."""
+        """Reports a change that was not applied in time, or checks again when the time may be over."""
         known = follower.watch.revision
         if not follower.alive or (known is not None and known >= revision):
             return
         limit, now = self.limit(follower, revision), self.world.sim.now
         if limit <= now:
             self.world.verdict.slack_ms = min(self.world.verdict.slack_ms, limit - now)
-            made = self.made_at[revision]
+            made_at = self.made_at[revision]
             self.world.verdict.broken.append(
-                f"proxy {follower.number} lacks revision {revision}, made at {made:.0f}, at {now:.0f}"
+                f"proxy {follower.number} lacks revision {revision}, made at {made_at:.0f}, at {now:.0f}"
             )
         else:
             self.world.sim.at(min(limit, now + 100.0), self.check, follower, revision)
 
-    def has(self, follower: Follower, revision: int) -> None:
-        """A proxy has taken a list over."""
+    def record_applied(self, follower: Follower, revision: int) -> None:
+        """Records that a proxy has applied a list."""
         now, verdict = self.world.sim.now, self.world.verdict
-        if revision < self.known.get(follower.number, 0):
+        if revision < self.known_revisions.get(follower.number, 0):
             verdict.broken.append(f"proxy {follower.number} went back to revision {revision} at {now:.0f}")
-        self.known[follower.number] = revision
-        for known, made in self.made_at.items():
+        self.known_revisions[follower.number] = revision
+        for known, made_at in self.made_at.items():
             key = follower.number, known
-            if known > revision or self.written.get(key) == float("-inf"):
+            if known > revision or self.announced_at.get(key) == float("-inf"):
                 continue
             verdict.slack_ms = min(verdict.slack_ms, self.limit(follower, known, False) - now)
-            verdict.age_ms = max(verdict.age_ms, now - max(made, follower.started_at))
-            self.written[key] = float("-inf")
+            verdict.age_ms = max(verdict.age_ms, now - max(made_at, follower.started_at))
+            self.announced_at[key] = float("-inf")
--- a/notchflow/emulator/wires.py
+++ b/notchflow/emulator/wires.py
@@ -1,7 +1,7 @@
-"""An asyncio loop in simulated time, and a network in memory: the proxy's own edges run on them unchanged.
+"""An asyncio event loop in simulated time and an in-memory network, on which the proxy's real I/O code runs.
 
-Only what those edges use is there. Callbacks due at one moment run in the order in which they were asked for,
-so that a day is the same each time it is played. Times are milliseconds on the simulator's clock.
+Only the part that this code uses is implemented. Callbacks due at the same time run in the order in which
+they were scheduled, so that a run is deterministic. Times are milliseconds on the simulator's clock.
 """
 
 from __future__ import annotations
@@ -17,39 +17,41 @@
 
 Address = tuple[str, int]
 
-EPOCH_MS: Final = 0.0  # the simulated proxies' wall clock begins here
+EPOCH_MS: Final = 0.0  # wall-clock time at the start of a simulation
 
 
 class Network(Protocol):
-    """What answers at addresses."""
+    """Connects addresses to servers."""
 
     def dial_ms(self, loop: Loop, address: Address) -> float | None:
-        """How long a connection takes to come up; none where it is refused."""
+        """Returns how long a dial takes, or None where the connection is refused."""
 
-    def served_by(self, loop: Loop, address: Address) -> asyncio.Protocol:
-        """Who serves a connection that has come up."""
+    def create_server(self, loop: Loop, address: Address) -> asyncio.Protocol:
+        """Creates the protocol that serves a new connection."""
 
 
 class Loop(asyncio.AbstractEventLoop):
-    """The loop of one process. One that was killed runs nothing more."""
+    """The event loop of one process. A killed one runs no more callbacks."""
 
     def __init__(self, sim: Simulator, network: Network) -> None:
         self.sim, self.network = sim, network
         self.alive = True
-        self.pipes: dict[Pipe, None] = {}  # in the order in which they came up
-        self.problems: list[str] = []
+        self.pipes: dict[Pipe, None] = {}  # in the order in which they were connected
+        self.exceptions: list[str] = []
 
     def kill(self) -> None:
-        """The process is gone, and the kernel ends its connections."""
+        """Kills the process; its connections are closed, as by the kernel."""
         self.alive = False
         for pipe in list(self.pipes):
             pipe.abort()
 
-    # -- what asyncio asks of a loop
+    # -- the interface of asyncio's loop
     def get_debug(self) -> bool:
+        """Returns False."""
         return False
 
     def time(self) -> float:
+        """Returns the simulated time in seconds."""
         return self.sim.now / 1e3
 
     def call_soon(  # type: ignore[override]
@@ -58,6 +60,7 @@
         *args: Any,
         context: Context | None = None,
     ) -> asyncio.Handle:
+        """Schedules a callback at the current time."""
         handle = asyncio.Handle(callback, args, self, context)
         self.sim.after(0.0, self._run, handle, callback, args, context)
         return handle
@@ -69,6 +72,7 @@
         *args: Any,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
+        """Schedules a callback after a delay in seconds."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
@@ -78,13 +82,16 @@
         *args: Any,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
+        """Schedules a callback at a time in seconds."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        due = math.ceil(when * 1e6) / 1e3  # never early: who finds nothing due would set it again
+        due = (
+            math.ceil(when * 1e6) / 1e3
+        )  # rounded up: a timer that fires early finds nothing due and is set again
         self.sim.at(due, self._run, handle, callback, args, context)
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """It is passed over when it comes due."""
+        """Does nothing: a cancelled handle is skipped when it comes due."""
 
     def _run(
         self,
@@ -100,31 +107,35 @@
                 context.run(callback, *args)
 
     def create_future(self) -> asyncio.Future[Any]:
+        """Creates a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Coroutine[Any, Any, Any], **_: Any) -> asyncio.Task[Any]:  # type: ignore[override]
+        """Creates a task of this loop."""
         return asyncio.Task(coro, loop=self)
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        self.problems.append(str(context.get("exception") or context.get("message")))
+        """Records an unhandled exception."""
+        self.exceptions.append(str(context.get("exception") or context.get("message")))
 
     async def create_connection(
         self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **_: Any
     ) -> tuple[asyncio.Transport, Any]:
+        """Dials an address in the simulated network."""
         waiter = self.create_future()
         address = cast(Address, (host, port))
-        wait = self.network.dial_ms(self, address)
-        if wait is None:
+        dial_ms = self.network.dial_ms(self, address)
+        if dial_ms is None:
             raise ConnectionRefusedError(f"{host}:{port}")
-        self.sim.after(wait, self._up, waiter, address, protocol_factory)
+        self.sim.after(dial_ms, self._connected, waiter, address, protocol_factory)
         return cast("tuple[asyncio.Transport, Any]", await waiter)
 
-    def _up(self, waiter: asyncio.Future[Any], address: Address, factory: Callable[[], Any]) -> None:
+    def _connected(self, waiter: asyncio.Future[Any], address: Address, factory: Callable[[], Any]) -> None:
         if waiter.done() or not self.alive:
             return
         near, far = Pipe(self, True), Pipe(self, False)
-        near.other, far.other = far, near
-        near.protocol, far.protocol = factory(), self.network.served_by(self, address)
+        near.peer, far.peer = far, near
+        near.protocol, far.protocol = factory(), self.network.create_server(self, address)
         self.pipes[near] = None
         far.protocol.connection_made(far)
         near.protocol.connection_made(near)
@@ -132,24 +143,27 @@
 
 
 class Pipe(asyncio.Transport):
-    """One end of a connection. What is written arrives in the same moment, in order, never held back."""
+    """One end of a connection. Data arrives without delay and in order; there is no flow control on
+    writes."""
 
-    def __init__(self, loop: Loop, own: bool) -> None:
+    def __init__(self, loop: Loop, is_local: bool) -> None:
         super().__init__()
-        self.loop, self.own = loop, own  # the end of the loop's process, or the one far away
-        self.other: Pipe | None = None
+        self.loop, self.is_local = loop, is_local  # the end of the loop's process, or the remote end
+        self.peer: Pipe | None = None
         self.protocol: Any = None
         self.closing = self.paused = False
         self.unread: list[bytes] = []
 
     def write(self, data: Any) -> None:
-        if not self.closing and self.other is not None:
-            self.loop.sim.after(0.0, self.other._arrived, bytes(data))
+        """Sends data to the peer."""
+        if not self.closing and self.peer is not None:
+            self.loop.sim.after(0.0, self.peer._receive, bytes(data))
 
     def writelines(self, list_of_data: Any) -> None:
+        """Sends pieces of data to the peer as one."""
         self.write(b"".join(list_of_data))
 
-    def _arrived(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         if self.closing:
             return
         if self.paused:
@@ -158,43 +172,49 @@
             self.protocol.data_received(data)
 
     def close(self) -> None:
+        """Closes both ends."""
         if not self.closing:
             self.closing = True
             self.loop.pipes.pop(self, None)
-            self.loop.sim.after(0.0, self._lost)
-            if self.other is not None:
-                self.loop.sim.after(0.0, self.other.close)  # after all that was written
+            self.loop.sim.after(0.0, self._connection_lost)
+            if self.peer is not None:
+                self.loop.sim.after(0.0, self.peer.close)  # after all data written before
 
     abort = close
 
-    def _lost(self) -> None:
-        if self.loop.alive or not self.own:
+    def _connection_lost(self) -> None:
+        if self.loop.alive or not self.is_local:
             self.protocol.connection_lost(None)
 
     def is_closing(self) -> bool:
+        """Whether this end is closed."""
         return self.closing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing is ever held back."""
+        """Ignored: writes are never buffered."""
 
     def get_write_buffer_size(self) -> int:
+        """Returns 0."""
         return 0
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """Returns the default."""
         return default
 
     def pause_reading(self) -> None:
+        """Holds back incoming data."""
         self.paused = True
 
     def resume_reading(self) -> None:
+        """Delivers the data that was held back."""
         self.paused = False
-        held, self.unread = self.unread, []
-        for data in held:
-            self.loop.sim.after(0.0, self._arrived, data)
+        pending, self.unread = self.unread, []
+        for data in pending:
+            self.loop.sim.after(0.0, self._receive, data)
 
 
 class SimulatedClock(Clock):
-    """The proxy's time where the loop is simulated."""
+    """The proxy's clock on a simulated loop."""
 
     __slots__ = ()
 
@@ -202,4 +222,5 @@
         self.loop, self.offset_ms = loop, EPOCH_MS
 
     def now(self) -> float:
+        """Returns the simulated wall-clock time in milliseconds."""
         return self.offset_ms + self.loop.time() * 1e3
--- a/tests/emulator/test_reproducible.py
+++ b/tests/emulator/test_reproducible.py
@@ -1,4 +1,4 @@
-"""A seed alone decides a day: processes that hash differently play the same one, to the last figure."""
+"""A seed alone determines a day: processes with different hash seeds simulate exactly the same day."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 PLAY_LIMIT_S = 120.0
 
 
-def fallen_nodes() -> str:
-    """Cold nodes that fall with requests in hand: the plain choice sends them their whole part at once."""
+def failed_nodes() -> str:
+    """Cold nodes that fail with requests in progress: the baseline sends them their full share at once."""
     day = Day(Fleet(boxes=10, proxies=20), Load(load=1.2), (Event(300.0, "drain", 0.9, 300.0),), 4_500.0, 2)
     world = World(day, DECIDERS["rendezvous"])
     ledger = world.play()
-    assert ledger.broken, "nodes fall"
+    assert ledger.broken, "nodes must fail"
     return repr((world.simulator.count, ledger.seconds, ledger.broken, ledger.latencies))
 
 
 def killed_processes() -> str:
-    """Whole proxies that are killed and started again with many connections open."""
+    """Whole proxies that are killed and restarted with many open connections."""
     logging.disable()
     day = WatchDay(
         proxies=3,
@@ -43,12 +43,12 @@
         restarts=((7_003.0, 0), (9_001.0, 1)),
     )
     world = Sends(day, PLANS[1])
-    return repr((world.judged(), world.requests, world.answers, world.served, world.sim.count))
+    return repr((world.run(), world.requests, world.answers, world.served, world.sim.count))
 
 
-@pytest.mark.parametrize("name", ["fallen_nodes", "killed_processes"])
+@pytest.mark.parametrize("name", ["failed_nodes", "killed_processes"])
 def test_hash_seeds_do_not_change_a_day(name: str) -> None:
-    """Guards against plays that iterate over sets of objects, whose order differs between processes."""
+    """Guards against simulations that iterate over sets of objects, whose order differs between processes."""
     program = f"from {__name__} import {name}; print({name}())"
     players = [
         subprocess.Popen(
@@ -60,7 +60,7 @@
         )
         for seed in HASH_SEEDS
     ]
-    told = [player.communicate(timeout=PLAY_LIMIT_S)[0] for player in players]
+    outputs = [player.communicate(timeout=PLAY_LIMIT_S)[0] for player in players]
     assert [player.returncode for player in players] == [0] * len(HASH_SEEDS)
-    assert len(told[0]) > 50
-    assert told == [told[0]] * len(HASH_SEEDS)
+    assert len(outputs[0]) > 50
+    assert outputs == [outputs[0]] * len(HASH_SEEDS)
--- a/tests/emulator/test_sends.py
+++ b/tests/emulator/test_sends.py
@@ -1,4 +1,4 @@
-"""From the list to the last byte: whole proxies in simulated time, held to when a change counts as told."""
+"""Simulated proxies from the list to the last byte, checked against when a change counts as announced."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.fixed_waits import FixedWaits
-from notchflow.emulator.send_explorer import PLANS, explore, placed, play
+from notchflow.emulator.send_explorer import PLANS, explore, play, schedules
 from notchflow.emulator.sends import Sends, WatchedHost
 from notchflow.emulator.watches import Day
 from notchflow.emulator.wires import Loop, Pipe
@@ -26,26 +26,26 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
+def disable_logging() -> Iterator[None]:
     logging.disable()
     yield
     logging.disable(logging.NOTSET)
 
 
 @pytest.mark.parametrize("asked", [True, False])
-def test_no_byte_goes_to_a_node_that_left_after_it_was_told_and_the_grace(asked: bool) -> None:
-    """Every placing; of those on two moments each ninth where it must be quick."""
-    days = list(placed(asked, MOMENTS[asked] if LONG else MOMENTS[asked][:2]))[:: 1 if LONG else 9]
+def test_no_byte_goes_to_a_removed_node_after_the_announcement_and_the_grace(asked: bool) -> None:
+    """All placements on three times in the long run; otherwise every ninth placement on two times."""
+    days = list(schedules(asked, MOMENTS[asked] if LONG else MOMENTS[asked][:2]))[:: 1 if LONG else 9]
     requests, broken = explore(days)
     assert len(days) == (7_680 if LONG else 108) and requests > 800 * len(days)
     assert broken == []
 
 
-LAST = (12_000.0, 12_250.0, 12_500.0, 12_750.0)  # of the last change: a dial is not always under way
+LAST = (12_000.0, 12_250.0, 12_500.0, 12_750.0)  # times of the last change: a dial is not always in progress
 
 
 def day(asked: bool, last: float = LAST[0], **faults: Any) -> Day:
-    """Silent watches where lists are asked for, one that is reset where they are pushed."""
+    """A day with silent watches where lists are requested, or with a reset watch where they are pushed."""
     troubles = {"silences": (5_990.0,)} if asked else {"resets": (8_900.0,)}
     return Day(
         proxies=2,
@@ -56,15 +56,15 @@
     )
 
 
-def test_a_day_is_the_same_each_time() -> None:
+def test_a_day_is_reproducible() -> None:
     worlds = [Sends(day(False), PLANS[1]) for _ in range(2)]
-    assert [w.judged() for w in worlds] == [[], []]
+    assert [w.run() for w in worlds] == [[], []]
     first, second = ((w.requests, w.answers, w.served, w.sim.count) for w in worlds)
     assert first == second and first[0] > 400 and first[1][200] > 300
 
 
-class Deaf(WatchedHost):
-    """Follows the list as it did before watches were opened anew."""
+class FixedWaitsHost(WatchedHost):
+    """Follows the list without renewing watches."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
@@ -73,7 +73,7 @@
         )
 
 
-class DrainIsUp(WatchedHost):
+class DrainTakenForReady(WatchedHost):
     def apply(self, listing: NodeList, kind: ListKind) -> None:
         members = tuple(
             replace(m, state=State.READY) if m.state is State.DRAINING else m for m in listing.members
@@ -81,15 +81,15 @@
         super().apply(replace(listing, members=members), kind)
 
 
-class NodesStay(WatchedHost):
-    """The pools know of changes, the module does not."""
+class PolicyUnaware(WatchedHost):
+    """The pools are notified of changes, the policy is not."""
 
     def dispatch(self, event: Event) -> None:
         if not isinstance(event, Membership) or event.kind is not ListKind.DELTA:
             super().dispatch(event)
 
 
-class AddressStays(WatchedHost):
+class KeepsOldAddress(WatchedHost):
     def apply(self, listing: NodeList, kind: ListKind) -> None:
         addresses = dict(listing.addresses or {})
         for node, pool in self.pools.items():
@@ -99,7 +99,7 @@
 
 
 def unchecked(method: Callable[..., None]) -> Callable[..., None]:
-    """The pool's method as it would be if it did not look whether the pool is retired."""
+    """Returns the pool's method without its check for a retired pool."""
 
     def changed(pool: Pool, *args: Any) -> None:
         retired, pool.retired = pool.retired, False
@@ -109,36 +109,36 @@
     return changed
 
 
-def nothing(*_: object) -> None: ...
+def do_nothing(*_: object) -> None: ...
 
 
 UNCHECKED = {name: unchecked(getattr(Pool, name)) for name in ("send", "opened", "release")}
 
 MUTANTS: dict[str, tuple[type[WatchedHost], dict[str, Callable[..., Any]], dict[str, Any]]] = {
-    "the watch of before": (Deaf, {}, {}),
-    "a drain is taken for up": (DrainIsUp, {}, {}),
-    "the module is not told, and pools begin where they are retired": (
-        NodesStay,
+    "watches are not renewed": (FixedWaitsHost, {}, {}),
+    "a draining node counts as ready": (DrainTakenForReady, {}, {}),
+    "the policy is not notified, and retired pools send": (
+        PolicyUnaware,
         {"send": UNCHECKED["send"], "opened": UNCHECKED["opened"]},
         {},
     ),
-    "dials go on, and what has come up begins": (
+    "dials are not cancelled, and new connections send": (
         WatchedHost,
-        {"cancel_dials": nothing, "opened": UNCHECKED["opened"]},
+        {"cancel_dials": do_nothing, "opened": UNCHECKED["opened"]},
         {"grace_ms": 100.0, "silences": ()},
     ),
-    "kept connections stay, module and pool know nothing": (
-        NodesStay,
-        {"send": UNCHECKED["send"], "retire": nothing, "release": UNCHECKED["release"]},
+    "idle connections stay, and policy and pool are not notified": (
+        PolicyUnaware,
+        {"send": UNCHECKED["send"], "retire": do_nothing, "release": UNCHECKED["release"]},
         {},
     ),
-    "an id that moves keeps its old address": (AddressStays, {}, {}),
+    "a node that moves keeps its old address": (KeepsOldAddress, {}, {}),
 }
 
 
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_fault_between_the_list_and_the_first_byte_is_told(
+def test_checker_reports_faults_between_the_list_and_the_first_byte(
     name: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     host, patches, faults = MUTANTS[name]
@@ -148,65 +148,65 @@
         found = [text for plan in PLANS for text in play((day(asked, last, **faults), plan), host)[1]]
         if any("a request" in text for text in found):
             return
-    pytest.fail("nothing of it was told")
+    pytest.fail("the checker reported no violation")
 
 
 @pytest.mark.parametrize("asked", [True, False])
-def test_the_same_days_hold_without_a_fault(asked: bool) -> None:
+def test_the_same_days_pass_without_a_fault(asked: bool) -> None:
     troubles: tuple[dict[str, Any], ...] = ({}, {"grace_ms": 100.0, "silences": ()})
     for faults in troubles:
         assert [play((day(asked, **faults), plan))[1] for plan in PLANS] == [[]] * len(PLANS)
 
 
-class Far(asyncio.Protocol):
+class ServerProtocol(asyncio.Protocol):
     def __init__(self) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.lost = False
 
     def data_received(self, data: bytes) -> None:
-        self.heard.append(data)
+        self.received.append(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
 
 
-class Net:
+class FakeNetwork:
     def __init__(self) -> None:
-        self.far: list[Far] = []
+        self.servers: list[ServerProtocol] = []
 
     def dial_ms(self, loop: Loop, address: tuple[str, int]) -> float | None:
         return None if address[1] == 9 else 5.0
 
-    def served_by(self, loop: Loop, address: tuple[str, int]) -> asyncio.Protocol:
-        self.far.append(Far())
-        return self.far[-1]
+    def create_server(self, loop: Loop, address: tuple[str, int]) -> asyncio.Protocol:
+        self.servers.append(ServerProtocol())
+        return self.servers[-1]
 
 
-def test_the_simulated_loop_dials_refuses_delivers_in_order_and_dies() -> None:
-    sim, net = Simulator(), Net()
+def test_simulated_loop_dials_refuses_delivers_in_order_and_is_killed() -> None:
+    sim, net = Simulator(), FakeNetwork()
     loop = Loop(sim, net)  # type: ignore[abstract]
-    told: list[str] = []
+    events: list[str] = []
 
     async def dial(port: int) -> None:
         try:
-            pipe, near = await loop.create_connection(Far, "node", port)
+            pipe, near = await loop.create_connection(ServerProtocol, "node", port)
             assert isinstance(pipe, Pipe)
             pipe.write(b"one")
             pipe.writelines([b"two", b"three"])
-            told.append(f"up at {loop.time() * 1e3:.0f}")
+            events.append(f"up at {loop.time() * 1e3:.0f}")
         except ConnectionRefusedError:
-            told.append("refused")
+            events.append("refused")
 
     loop.create_task(dial(1))
     loop.create_task(dial(9))
-    loop.call_later(0.003, told.append, "later")
-    loop.call_later(0.004, told.append, "never").cancel()
+    loop.call_later(0.003, events.append, "later")
+    loop.call_later(0.004, events.append, "never").cancel()
     given_up = loop.create_task(dial(2))
     loop.call_later(0.002, given_up.cancel)
     sim.run(50.0)
-    assert told == ["refused", "later", "up at 5"]
-    assert [far.heard for far in net.far] == [[b"one", b"twothree"]] and not net.far[0].lost
-    loop.call_later(0.001, told.append, "after the end")
+    assert events == ["refused", "later", "up at 5"]
+    assert [server.received for server in net.servers] == [[b"one", b"twothree"]] and not net.servers[0].lost
+    loop.call_later(0.001, events.append, "after the end")
     loop.kill()
     sim.run(100.0)
-    assert net.far[0].lost and told[-1] == "up at 5" and not loop.pipes
+    assert net.servers[0].lost and events[-1] == "up at 5" and not loop.pipes
--- a/tests/emulator/test_watches.py
+++ b/tests/emulator/test_watches.py
@@ -1,4 +1,4 @@
-"""A fleet's watches in simulated time, held to the operators' terms on when a change counts as told."""
+"""Simulated watches of a fleet, checked against the operators' rules on when a change counts as announced."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 
-# All watches fall silent in the first seconds and nodes begin to drain right after: the calm short day.
+# All watches fall silent in the first seconds, and a node begins to drain right after.
 SILENT = {"silences": (6_000.0,), "changes": (7_000.0,)}
 
 
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("all_call_ms", [2_000.0, 8_000.0])
 @pytest.mark.parametrize("proxies", [2, 6, 40, 230])
-def test_watches_that_fall_silent_together_are_replaced_in_time(
+def test_watches_that_fall_silent_together_are_renewed_in_time(
     proxies: int, all_call_ms: float, asked: bool
 ) -> None:
     verdict = World(Day(proxies=proxies, asked=asked, all_call_ms=all_call_ms, **SILENT)).play()  # type: ignore[arg-type]
     assert verdict.broken == [] and verdict.slack_ms >= (1_500 if asked else 250)
     assert verdict.age_ms <= (35_000 if asked else 3_000)
-    assert verdict.busiest <= max(3, proxies * 1_000 / all_call_ms), "no more than discovery can take"
+    assert verdict.busiest <= max(3, proxies * 1_000 / all_call_ms), "no more calls than discovery can accept"
 
 
 @pytest.mark.parametrize("asked", [True, False])
-def test_two_silences_and_one_just_as_a_watch_is_opened_anew(asked: bool) -> None:
+def test_two_silences_one_of_them_during_a_renewal(asked: bool) -> None:
     for second in range(9_000, 34_000, 500):
         day = Day(
             proxies=6,
@@ -44,32 +44,32 @@
 
 
 @pytest.mark.parametrize("asked", [True, False])
-def test_every_placing_of_a_silence_a_cut_a_move_and_a_restart_holds(asked: bool) -> None:
+def test_every_placement_of_a_silence_a_cut_a_move_and_a_restart_passes(asked: bool) -> None:
     moments = (1_500.0, 6_000.0, 12_000.0, 22_000.0, 31_000.0) if LONG else (1_500.0, 6_000.0, 31_000.0)
     count, broken = explore(asked, moments, 3 if LONG else 2, processes=os.cpu_count() or 1 if LONG else 1)
     assert count == (45_360 if LONG else 1_536) and broken == []
 
 
-def test_drawn_days_with_troubles_of_all_kinds_hold() -> None:
+def test_random_days_with_all_kinds_of_faults_pass() -> None:
     for seed in range(4_000 if LONG else 40):
         day, broken = play(draw(seed))
         assert broken == [], day
 
 
-class NeverAnew(ListWatch):
+class NeverRenews(ListWatch):
     def _renewal_at(self, now: float, out: PendingCall) -> float:
         return float("inf")
 
 
-class AllAtOneMoment(ListWatch):
-    """Anew, but at the same age everywhere and late."""
+class RenewsAllAtOnce(ListWatch):
+    """Renews watches, but late and at the same age at all proxies."""
 
     def _renewal_at(self, now: float, out: PendingCall) -> float:
         return out.begun_at + 59_500.0 if self.on_request else super()._renewal_at(now, out)
 
 
-class IgnoresTheNewOne(ListWatch):
-    """Takes nothing from a second call."""
+class IgnoresSecondCall(ListWatch):
+    """Ignores the answer of a second call."""
 
     def answered(self, now: float, number: int, listing: NodeList, empty: bool) -> list[WatchAction]:
         if len(self.pending_calls) == 2 and number == self.pending_calls[1].number:
@@ -77,8 +77,8 @@
         return super().answered(now, number, listing, empty)
 
 
-class NoSecondTry(ListWatch):
-    """A renewal that fails is the last."""
+class NoRenewalRetry(ListWatch):
+    """Does not retry a renewal that failed."""
 
     def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
         actions = super()._after_failure(now, problem)
@@ -87,13 +87,13 @@
         return actions
 
 
-class TakesOlder(ListWatch):
+class AcceptsOlderLists(ListWatch):
     def _rejection_reason(self, now: float, out: PendingCall, listing: NodeList) -> str:
         return ""
 
 
 class SlowAfterFailure(ListWatch):
-    """An agent that failed is left alone for half a second."""
+    """Waits half a second after a failure of the agent."""
 
     def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
         actions = super()._after_failure(now, problem)
@@ -102,7 +102,7 @@
         return actions
 
 
-class AsksLateAtTheStart(ListWatch):
+class SlowStart(ListWatch):
     def set_wanted(self, now: float, on: bool) -> list[WatchAction]:
         if not self.on_request and self.last_call_number == 0:
             self.wanted, self.next_at = on, now + 1_000.0
@@ -110,14 +110,14 @@
         return super().set_wanted(now, on)
 
 
-class LostInAMove(ListWatch):
+class LosesCallOnReload(ListWatch):
     def restart(self, now: float) -> list[WatchAction]:
         actions = super().restart(now)
         self.pending_calls.clear()
         return actions[:-1]
 
 
-class NoneAfterAnAnswer(ListWatch):
+class NoCallAfterAnswer(ListWatch):
     def answered(self, now: float, number: int, listing: NodeList, empty: bool) -> list[WatchAction]:
         actions = super().answered(now, number, listing, empty)
         if self.phase.value == "watching" and any(isinstance(a, ApplyList) for a in actions):
@@ -126,8 +126,8 @@
         return actions
 
 
-class DeafToTheModule(ListWatch):
-    """After a failure nobody asks again."""
+class IgnoresPolicy(ListWatch):
+    """Makes no call after a failure, although the policy asks for one."""
 
     def _after_failure(self, now: float, problem: str) -> list[WatchAction]:
         actions = super()._after_failure(now, problem)
@@ -136,7 +136,7 @@
         return actions
 
 
-TROUBLES = (
+FAULTY_DAYS = (
     Day(proxies=40, all_call_ms=8_000.0, **SILENT),  # type: ignore[arg-type]
     Day(proxies=40, cuts=tuple((7_100.0, n) for n in range(40)), **SILENT),  # type: ignore[arg-type]
     Day(proxies=6, asked=False, resets=(9_000.0,), changes=(9_100.0,)),
@@ -151,21 +151,21 @@
     "mutant",
     [
         FixedWaits,
-        NeverAnew,
-        AllAtOneMoment,
-        IgnoresTheNewOne,
-        NoSecondTry,
-        TakesOlder,
+        NeverRenews,
+        RenewsAllAtOnce,
+        IgnoresSecondCall,
+        NoRenewalRetry,
+        AcceptsOlderLists,
         SlowAfterFailure,
-        AsksLateAtTheStart,
-        LostInAMove,
-        NoneAfterAnAnswer,
-        DeafToTheModule,
+        SlowStart,
+        LosesCallOnReload,
+        NoCallAfterAnswer,
+        IgnoresPolicy,
     ],
 )
-def test_a_fault_in_the_watch_is_told_by_the_judge(mutant: type[ListWatch]) -> None:
-    assert any(World(day, mutant).play().broken for day in TROUBLES)
+def test_checker_reports_faults_in_the_watch(mutant: type[ListWatch]) -> None:
+    assert any(World(day, mutant).play().broken for day in FAULTY_DAYS)
 
 
-def test_the_same_days_hold_without_a_fault() -> None:
-    assert [World(day).play().broken for day in TROUBLES] == [[]] * len(TROUBLES)
+def test_the_same_days_pass_without_a_fault() -> None:
+    assert [World(day).play().broken for day in FAULTY_DAYS] == [[]] * len(FAULTY_DAYS)
