--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -254,7 +254,7 @@
         self.session.read_results.clear()
         ready = [operation for index, operation in self.waiting_for_index if index <= self.machine.applied]
         self.waiting_for_index = [
-            operation for operation in self.waiting_for_index if operation[0] > self.machine.applied
+            waiting for waiting in self.waiting_for_index if waiting[0] > self.machine.applied
         ]
         for operation in ready:
             if operation.kind == "read":
--- a/notchflow/emulator/proxy.py
+++ b/notchflow/emulator/proxy.py
@@ -177,11 +177,13 @@
     def _send(self, number: int, node_id: int, timeout: float | None) -> None:
         now, active = self.simulator.now, self.active.get(number)
         if active is None or active.finished or node_id not in self.directory.boxes:
-            number = active.attempts if active is not None else 0
+            attempt_number = active.attempts if active is not None else 0
             if active is not None:
                 active.attempts += 1
             self.inbox.append(
-                Outcome(number, number, node_id, Status.MOOT, closed=active is None or active.finished)
+                Outcome(
+                    number, attempt_number, node_id, Status.MOOT, closed=active is None or active.finished
+                )
             )
             return
         if node_id in self.drained_at and now > self.drained_at[node_id] + self.day.rules.drain_grace_ms:
@@ -215,8 +217,8 @@
     def _dial(self, active: ActiveRequest, attempt: Attempt, distance_ms: float) -> None:
         self.ledger.second(self.simulator.now).dials += 1
         if attempt.node.state is NodeStatus.SILENT:
-            retry_after = self.day.limits.connect_timeout_ms
-            self.simulator.after(retry_after, self._fail, active, attempt, Status.CONNECT_FAILED)
+            timeout_ms = self.day.limits.connect_timeout_ms
+            self.simulator.after(timeout_ms, self._fail, active, attempt, Status.CONNECT_FAILED)
         elif attempt.node.state is NodeStatus.GONE or not attempt.node.accept_connection():
             self.simulator.after(2 * distance_ms, self._fail, active, attempt, Status.CONNECT_FAILED)
         else:
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -153,6 +153,7 @@
 
     @property
     def watch(self) -> ListWatch:  # type: ignore[override]
+        """The host's watch."""
         return self.host.discovery.list_watch
 
     def reload(self) -> None:
--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -48,7 +48,7 @@
     silences: tuple[float, ...] = ()  # calls open then are never answered
     resets: tuple[float, ...] = ()
     cuts: tuple[tuple[float, int], ...] = ()  # the next answer to this proxy is cut off
-    older: tuple[tuple[float, int], ...] = ()  # the next answer to this proxy is an older list
+    older: tuple[tuple[float, int], ...] = ()  # the next answer to this proxy carries an older list
     downs: tuple[tuple[float, float], ...] = ()  # start and end of an outage of discovery
     moves: tuple[float, ...] = ()  # SIGHUP at all proxies: discovery has another address
     restarts: tuple[tuple[float, int], ...] = ()  # a process restarts with the first list
@@ -261,7 +261,7 @@
         sim.run(day.length_ms)
         return self.verdict
 
-    def open_lines(self) -> list[Call]:
+    def open_calls(self) -> list[Call]:
         """Returns all open calls."""
         return [call for follower in self.followers for call in follower.calls.values()]
 
@@ -275,7 +275,7 @@
 
     def notify_watches(self) -> None:
         """Answers all watches."""
-        for call in self.open_lines():
+        for call in self.open_calls():
             if call.watching:
                 self.answer(call)
 
@@ -289,14 +289,14 @@
 
     def reset(self) -> None:
         """Resets the connections of all calls."""
-        for call in self.open_lines():
+        for call in self.open_calls():
             call.follower.failed(call, "connection lost")
 
     def go_down(self) -> None:
         """Begins an outage of discovery."""
         self.down = True
         if self.day.asked:
-            for call in [c for c in self.open_lines() if c.watching]:
+            for call in [c for c in self.open_calls() if c.watching]:
                 self.refuse(call)
 
     def come_back(self) -> None:
@@ -307,7 +307,7 @@
     def move(self) -> None:
         """Moves discovery to another address and sends SIGHUP to all proxies."""
         self.address += 1
-        old = self.open_lines()
+        old = self.open_calls()
         for follower in self.followers:
             follower.reload()
         for call in old:
@@ -372,11 +372,11 @@
             self.sim.after(ONE_WAY_MS, follower.failed, call, "connection lost")
             return
         self.answered_at[follower.number] = self.sim.now
-        revision, whole = self.revision, call.request.revision is None
+        revision, complete = self.revision, call.request.revision is None
         if follower.number in self.serve_older_list and revision > 0:
             self.serve_older_list.discard(follower.number)
             revision = max(revision - 2, 0)
-        listing = NodeList(revision, whole, ONE_MEMBER if whole else ())
+        listing = NodeList(revision, complete, ONE_MEMBER if complete else ())
         self.sim.after(ONE_WAY_MS, follower.answered, call, listing)
 
     def refuse(self, call: Call) -> None:
@@ -407,15 +407,15 @@
 
     def record_silence(self, follower: Follower) -> None:
         """Records the pending changes as missed where only silent watches are open."""
-        told = [
+        silent_until = [
             max(c.silent_at + SILENCE_MS, c.begun_at + c.request.wait_ms + WAIT_OVER_MS)
             for c in follower.calls.values()
             if c.silent_at is not None
         ]
-        if told and len(told) == len(follower.calls):
+        if silent_until and len(silent_until) == len(follower.calls):
             for revision, made_at in self.made_at.items():
                 if revision > (follower.watch.revision or 0):
-                    self.missed_at.setdefault((follower.number, revision), max(made_at, min(told)))
+                    self.missed_at.setdefault((follower.number, revision), max(made_at, min(silent_until)))
 
     def forget(self, follower: Follower) -> None:
         """Forgets what a restarted proxy knew."""
