--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -141,14 +141,12 @@
         self.session.mark_applied(self.machine.applied)
         self.queue: list[Batch] = []  # batches to write, in order
         self.latest_incarnations: dict[str, int] = {}  # by sender
-        self.pending_reads: dict[
-            int, Operation
-        ] = {}  # reads, and changes before their proposal, that wait for a read index
+        # Reads, and changes before their proposal, that wait for a read index.
+        self.pending_reads: dict[int, Operation] = {}
         # By operation: the base version of its last proposal, and the number of that proposal.
         self.proposals: dict[int, tuple[Operation, int, int]] = {}
-        self.waiting_for_index: list[
-            tuple[int, Operation]
-        ] = []  # operations that wait until an index is applied
+        # Operations that wait until an index is applied.
+        self.waiting_for_index: list[tuple[int, Operation]] = []
         self.timer_at = math.inf
 
     def clock(self) -> float:
--- a/notchflow/emulator/budgets.py
+++ b/notchflow/emulator/budgets.py
@@ -191,14 +191,14 @@
         offset = self.rng.uniform(0, 1e6)  # each incarnation has its own monotonic clock
         now = self.sim.now * clock + offset
         incarnation = Incarnation(int(self.sim.now), self.rng.getrandbits(60))
-        node = self.nodes[name] = Node(name, self._create_part(name, now), incarnation, clock, offset)
+        node = self.nodes[name] = Node(name, self._create_core(name, now), incarnation, clock, offset)
         if isinstance(node.core, RealCore):
             for key, budget in self.budgets.items():
                 node.core.budgets.set_limit(key, now, budget.rate, budget.burst)
         self.sim.after(self.rng.uniform(0, TICK_MS), self._tick, node)
         return node
 
-    def _create_part(self, name: str, now: float) -> BudgetCore:
+    def _create_core(self, name: str, now: float) -> BudgetCore:
         if self.kind == "ours":
             return RealCore(name, self.names, random.Random(self.rng.getrandbits(64)), now)
         if self.kind == "gossip":
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -157,7 +157,6 @@
         return self.host.discovery.list_watch
 
     def reload(self) -> None:
-        """The host's watch."""
         """Handles SIGHUP: discovery has another address."""
         self.host.discovery.change_address(("discovery", self.world.address))
 
--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -20,15 +20,14 @@
 
 ONE_WAY_MS: Final = 0.3
 QUEUE_MS: Final = 2_000.0  # calls that would wait longer are rejected
-WORK_MAX_MS: Final = (
-    1_000.0  # bound on the work of a call: in a small fleet no call would be accepted otherwise
-)
+WORK_MAX_MS: Final = 1_000.0  # of one call: in a small fleet no call would be accepted otherwise
 OLD_CLOSES_MS: Final = 1_500.0  # after a move, the former address closes its connections
-# A change that a silent watch misses counts as announced so long after the watch fell silent,
-SILENCE_MS: Final = 6_000.0
+SILENCE_MS: Final = (
+    6_000.0  # a change missed by a silent watch counts as announced so long after the silence,
+)
 FAILED_MS: Final = 6_000.0  # and any change so long after a call that failed, was rejected or was cancelled
-WAIT_OVER_MS: Final = 2_000.0  # or this long after the end of the watch's wait, if that is later
-HANGUP_MS: Final = 4_000.0  # pending changes count as announced this long after SIGHUP
+WAIT_OVER_MS: Final = 2_000.0  # or so long after the end of the watch's wait, if that is later
+HANGUP_MS: Final = 4_000.0  # pending changes count as announced so long after SIGHUP
 SLACK_MS: Final = 50.0  # allowance for sockets, in addition to the grace
 ONE_MEMBER: Final = (Member(1),)
 
@@ -78,9 +77,7 @@
     age_ms: float = 0.0  # longest time that a proxy ran without a change
     calls: int = 0
     refused: int = 0
-    by_second: dict[int, int] = field(
-        default_factory=dict
-    )  # calls received, without those that follow an answer
+    by_second: dict[int, int] = field(default_factory=dict)  # calls received that do not follow an answer
 
     @property
     def busiest(self) -> int:
