--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -22,9 +22,7 @@
 QUEUE_MS: Final = 2_000.0  # calls that would wait longer are rejected
 WORK_MAX_MS: Final = 1_000.0  # of one call: in a small fleet no call would be accepted otherwise
 OLD_CLOSES_MS: Final = 1_500.0  # after a move, the former address closes its connections
-SILENCE_MS: Final = (
-    6_000.0  # a change missed by a silent watch counts as announced so long after the silence,
-)
+SILENCE_MS: Final = 6_000.0  # what a silent watch misses counts as announced so long after the silence,
 FAILED_MS: Final = 6_000.0  # and any change so long after a call that failed, was rejected or was cancelled
 WAIT_OVER_MS: Final = 2_000.0  # or so long after the end of the watch's wait, if that is later
 HANGUP_MS: Final = 4_000.0  # pending changes count as announced so long after SIGHUP
