--- a/benchmarks/soak_checks.py
+++ b/benchmarks/soak_checks.py
@@ -1,4 +1,4 @@
-"""The rules of the service, judged from the record of a soak alone: it knows nothing of the program."""
+"""Checks the rules of the service on the record of a soak run, without any knowledge of the program."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from enum import Enum
 from typing import Final
 
-ANSWER_SLACK_S: Final = 0.5  # after its time an answer only earns nothing; later it is lost
-CROSSING_S: Final = 0.3  # a request that crosses a close sees the connection's end so soon
-LEFT_S: Final = 0.1  # after a client's end no attempt begins
-DRAIN_SLACK_S: Final = 0.15  # a process may be held up for so long between its clock and its write
+MAX_ANSWER_DELAY_S: Final = 0.5  # after its deadline an answer earns nothing, after this too it is missing
+MAX_CLOSE_RACE_S: Final = 0.3  # a request sent while the connection is being closed sees the end within this
+MAX_START_AFTER_LEAVE_S: Final = 0.1  # no attempt begins later than this after its client left
+MAX_DRAIN_DELAY_S: Final = 0.15  # a process may stall this long between reading the clock and writing
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """A request as its client saw it; times are the loop's seconds. `first`: the first on its connection."""
+    """A request as its client saw it, in seconds of the loop; `first` marks the first on its connection."""
 
     id: str
     unsafe: bool
     first: bool
     sent_at: float
     budget_s: float
-    status: int | None  # none: the connection ended, or nothing came
+    status: int | None  # None: the connection ended or no answer arrived in time
     ended_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request as a node ran it."""
+    """The execution of a request by a node."""
 
     id: str
     node: str
@@ -37,7 +37,7 @@
 
 
 class Departure(Enum):
-    """How a client leaves in the midst of a request. One that closes its sending side alone still listens."""
+    """How a client ends its connection during a request. After a half-close it still reads the answer."""
 
     CLOSE = "close"
     RESET = "reset"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """A client's end, with a request in hand."""
+    """A client that ended its connection during a request."""
 
     id: str
     how: Departure
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """A request that came to a node. `earliest`: when it came at the earliest, if the node was held up."""
+    """The arrival of a request at a node; `earliest` is its earliest possible time if the node stalled."""
 
     id: str
     earliest: float
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """A process that was told to end. `code`: none where it had to be killed."""
+    """A process that received SIGTERM at `told_at`; `code` is None if it had to be killed."""
 
     instance: str
     told_at: float
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """All that a soak saw. `told`: when each draining node's phase was last written to an instance."""
+    """Events of a soak run; `told` is the time at which a draining node was last announced to an instance."""
 
     grace_s: float
     crowd: bool = False
@@ -86,76 +86,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A rule that was broken, and by what."""
+class Violation:
+    """A violated rule and the event that violates it."""
 
     rule: str
     what: str
 
 
-def check(record: Record) -> list[Broken]:
-    """All that is broken."""
+def check(record: Record) -> list[Violation]:
+    """Returns all violations in the record."""
     return [
-        *unanswered(record),
-        *twice(record),
-        *begun_for_the_gone(record),
-        *drained(record),
-        *ended(record.stopped),
+        *find_unanswered(record),
+        *find_duplicate_effects(record),
+        *find_late_attempts(record),
+        *find_runs_after_drain(record),
+        *find_failed_exits(record.stopped),
     ]
 
 
-def unanswered(record: Record) -> list[Broken]:
-    """Each request has a final answer in time. One that never ran may cross the end of its connection; with a
-    crowd a new connection may be shut unread. Who has closed its connection hears nothing more."""
+def find_unanswered(record: Record) -> list[Violation]:
+    """Returns the requests without a final answer in time.
+
+    A request that never ran may race with the close of its connection. If idle clients use up the
+    descriptors, a new connection may be closed unread. A client that closed or reset its connection gets no
+    answer.
+    """
     ran = {run.id for run in record.runs}
-    deaf = {one.id for one in record.left if one.how is not Departure.HALF_CLOSE}
-    found = []
-    for one in record.asked:
-        if one.id in deaf:
+    departed = {leave.id for leave in record.left if leave.how is not Departure.HALF_CLOSE}
+    violations = []
+    for request in record.asked:
+        if request.id in departed:
             continue
-        took = one.ended_at - one.sent_at
-        if one.status is None:
-            may_close = took <= CROSSING_S and (not one.first or record.crowd)
-            if one.id in ran or not may_close:
-                found.append(Broken("answer", f"{one.id}: none in {took:.3f} s, first {one.first}"))
-        elif took > one.budget_s + ANSWER_SLACK_S:
-            found.append(Broken("answer", f"{one.id}: {one.status} after {took:.3f} s of {one.budget_s:g}"))
-    return found
-
-
-def twice(record: Record) -> list[Broken]:
-    """No unsafe request ran twice."""
+        took = request.ended_at - request.sent_at
+        if request.status is None:
+            may_close = took <= MAX_CLOSE_RACE_S and (not request.first or record.crowd)
+            if request.id in ran or not may_close:
+                violations.append(
+                    Violation("answer", f"{request.id}: none in {took:.3f} s, first {request.first}")
+                )
+        elif took > request.budget_s + MAX_ANSWER_DELAY_S:
+            violations.append(
+                Violation(
+                    "answer", f"{request.id}: {request.status} after {took:.3f} s of {request.budget_s:g}"
+                )
+            )
+    return violations
+
+
+def find_duplicate_effects(record: Record) -> list[Violation]:
+    """Returns the unsafe requests that ran more than once."""
     times = Counter(run.id for run in record.runs)
-    unsafe = [one.id for one in record.asked if one.unsafe]
-    return [Broken("effect", f"{one} ran {times[one]} times") for one in unsafe if times[one] > 1]
-
-
-def begun_for_the_gone(record: Record) -> list[Broken]:
-    """No attempt, first or further, begins long after its client's end."""
-    ends = {one.id: one for one in record.left}
-    found = []
-    for one in record.heard:
-        end = ends.get(one.id)
-        if end is not None and one.earliest - end.at > LEFT_S:
-            late = one.earliest - end.at
-            found.append(Broken("gone", f"{one.id}: begun {late:.3f} s after its {end.how.value}"))
-    return found
-
-
-def drained(record: Record) -> list[Broken]:
-    """Nothing new at a node that was told of as draining, after the grace."""
-    found = []
+    unsafe = [request.id for request in record.asked if request.unsafe]
+    return [Violation("effect", f"{id_} ran {times[id_]} times") for id_ in unsafe if times[id_] > 1]
+
+
+def find_late_attempts(record: Record) -> list[Violation]:
+    """Returns the attempts, retries and hedges included, that began long after their client left."""
+    departures = {leave.id: leave for leave in record.left}
+    violations = []
+    for arrival in record.heard:
+        leave = departures.get(arrival.id)
+        if leave is not None and arrival.earliest - leave.at > MAX_START_AFTER_LEAVE_S:
+            late = arrival.earliest - leave.at
+            violations.append(
+                Violation("gone", f"{arrival.id}: begun {late:.3f} s after its {leave.how.value}")
+            )
+    return violations
+
+
+def find_runs_after_drain(record: Record) -> list[Violation]:
+    """Returns the requests that ran at a draining node after the grace period."""
+    violations = []
     for run in record.runs:
         late = run.at - record.told.get(run.node, float("inf")) - record.grace_s
-        if late > DRAIN_SLACK_S:
-            found.append(Broken("drain", f"{run.id} at {run.node}, {late:.3f} s after the grace"))
-    return found
+        if late > MAX_DRAIN_DELAY_S:
+            violations.append(Violation("drain", f"{run.id} at {run.node}, {late:.3f} s after the grace"))
+    return violations
 
 
-def ended(stopped: Sequence[Stopped]) -> list[Broken]:
-    """Each process ends by itself, with 0."""
+def find_failed_exits(stopped: Sequence[Stopped]) -> list[Violation]:
+    """Returns the processes that did not exit by themselves with code 0."""
     return [
-        Broken("end", f"{one.instance}: {one.code} after {one.ended_at - one.told_at:.3f} s")
-        for one in stopped
-        if one.code != 0
+        Violation(
+            "end", f"{process.instance}: {process.code} after {process.ended_at - process.told_at:.3f} s"
+        )
+        for process in stopped
+        if process.code != 0
     ]
