--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from benchmarks.rig import Loads, boxes, cpu_s, platform_proxy
+from benchmarks.rig import LoadGenerators, cpu_s, platform_proxy, run_nodes
 from standins.box import Work
 from standins.ports import free_ports
 
@@ -103,9 +103,9 @@
     (console,) = free_ports(1)
     figures: dict[str, tuple[list[float], int]] = {}
     with (
-        boxes(6, Work(), processes=2) as (discovery, fleet),
+        run_nodes(6, Work(), processes=2) as (discovery, fleet),
         platform_proxy(discovery, fleet, console=console) as (port, process),
-        Loads(3) as loads,
+        LoadGenerators(3) as loads,
     ):
         figures["idle"] = series(seconds / 2, lambda: ask(console, "/status"))
         load = threading.Thread(target=loads.run, args=([port], CONNECTIONS, 3 * seconds, 2_000))
--- a/benchmarks/effects.py
+++ b/benchmarks/effects.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from benchmarks.rig import ROOT, boxes
+from benchmarks.rig import ROOT, run_nodes
 from benchmarks.tenancy import hosted, paced
 from standins.box import Work
 from standins.load import Draw, Tally
@@ -97,7 +97,7 @@
     tails: dict[tuple[str, str], float] = {}
     lost = 0
     with ExitStack() as stack:
-        discovery, _ = stack.enter_context(boxes(3, Work(0.002, 8)))
+        discovery, _ = stack.enter_context(run_nodes(3, Work(0.002, 8)))
         proxies = {  # their state is on the disk of this checkout
             name: stack.enter_context(hosted(discovery, ["only-one"], config=CONFIG + more, within=ROOT))
             for name, more in (("with", EFFECTS), ("without", ""), ("without_again", ""))
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass
 
 from benchmarks import inner
-from benchmarks.rig import Loads, boxes, cpu_s, forwarder, memory_mb, platform_proxy, stalls
+from benchmarks.rig import LoadGenerators, cpu_s, forwarder, memory_mb, platform_proxy, read_stalls, run_nodes
 from standins.box import Work
 
 RATIO_MIN = 0.40  # of the forwarder's throughput, at 32 connections and 0.5 KiB
@@ -89,7 +89,7 @@
 
 
 def take_turns(
-    loads: Loads, peers: Sequence[Peer], scale: Scale, connections: int, keys: int = KEYS
+    loads: LoadGenerators, peers: Sequence[Peer], scale: Scale, connections: int, keys: int = KEYS
 ) -> dict[str, Series]:
     """Each peer once a round, the order turned round every time."""
     series = {peer.name: Series.empty() for peer in peers}
@@ -114,7 +114,7 @@
 def three(count: int, work: Work) -> Iterator[list[Peer]]:
     """The proxy, the forwarder and the boxes themselves."""
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(boxes(count, work, processes=3))
+        discovery, fleet = stack.enter_context(run_nodes(count, work, processes=3))
         port, process = stack.enter_context(platform_proxy(discovery, fleet))
         bare_port, bare = stack.enter_context(forwarder(fleet))
         direct = [int(address.rpartition(":")[2]) for _, address in fleet]
@@ -131,7 +131,7 @@
     return rows
 
 
-def grid(loads: Loads, scale: Scale) -> list[Row]:
+def grid(loads: LoadGenerators, scale: Scale) -> list[Row]:
     rows: list[Row] = []
     for body in (512, 32 << 10):
         with three(10, Work(body=body)) as peers:
@@ -141,7 +141,7 @@
     return rows
 
 
-def failing(loads: Loads, scale: Scale) -> list[Row]:
+def failing(loads: LoadGenerators, scale: Scale) -> list[Row]:
     with three(10, Work(failing=0.3)) as peers:
         series = take_turns(loads, peers, scale, 32)
     rows = compared("failing30", series)
@@ -149,11 +149,11 @@
     return rows
 
 
-def many_boxes(loads: Loads, scale: Scale) -> list[Row]:
+def many_boxes(loads: LoadGenerators, scale: Scale) -> list[Row]:
     with ExitStack() as stack:
         peers = []
         for count in (10, 1_000):
-            discovery, fleet = stack.enter_context(boxes(count, Work(), processes=2))
+            discovery, fleet = stack.enter_context(run_nodes(count, Work(), processes=2))
             port, process = stack.enter_context(platform_proxy(discovery, fleet))
             peers.append(Peer(f"boxes{count}", [port], process))
         series = take_turns(loads, peers, scale, 32)
@@ -164,10 +164,10 @@
     return rows
 
 
-def many_keys(loads: Loads, scale: Scale) -> list[Row]:
+def many_keys(loads: LoadGenerators, scale: Scale) -> list[Row]:
     rows: list[Row] = []
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(boxes(10, Work(), processes=3))
+        discovery, fleet = stack.enter_context(run_nodes(10, Work(), processes=3))
         port, process = stack.enter_context(platform_proxy(discovery, fleet))
         for keys in (1, KEYS, 100_000):
             one = take_turns(loads, [Peer("proxy", [port], process)], scale, 32, keys)["proxy"]
@@ -176,13 +176,13 @@
     return rows
 
 
-def steady(loads: Loads, scale: Scale) -> list[Row]:
+def steady(loads: LoadGenerators, scale: Scale) -> list[Row]:
     """At 80% of what the proxy has just been able to do; the forwarder, at the same rate, is the peer."""
     rows: list[Row] = []
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(boxes(10, Work(), processes=3))
-        port, process = stack.enter_context(platform_proxy(discovery, fleet, watched=True))
-        bare_port, bare = stack.enter_context(forwarder(fleet, watched=True))
+        discovery, fleet = stack.enter_context(run_nodes(10, Work(), processes=3))
+        port, process = stack.enter_context(platform_proxy(discovery, fleet, watch_stalls=True))
+        bare_port, bare = stack.enter_context(forwarder(fleet, watch_stalls=True))
         loads.run([port], 32, 1.0, KEYS)
         capacity = statistics.median(
             t.served / t.span_s for t in (loads.run([port], 32, scale.round_s, KEYS) for _ in range(3))
@@ -192,11 +192,11 @@
         for name, at, one in (("proxy", port, process), ("forwarder", bare_port, bare)):
             begun: list[tuple[float, float]] = []
             # The first seconds, in which hundreds of clients connect at once, are told apart.
-            start = threading.Timer(SETTLE_S, lambda one=one, begun=begun: begun.append(stalls(one)))
+            start = threading.Timer(SETTLE_S, lambda one=one, begun=begun: begun.append(read_stalls(one)))
             start.start()
             tally = loads.paced([at], rate, SETTLE_S + scale.stall_s, KEYS)
             start.join()
-            wall, cpu = stalls(one)
+            wall, cpu = read_stalls(one)
             rows.append((f"steady_{name}_stall_connecting", begun[0][0], "ms"))
             rows += [
                 (f"steady_{name}_stall", wall, "ms"),
@@ -256,7 +256,7 @@
 
 
 def main() -> int:
-    parts: dict[str, Callable[[Loads, Scale], list[Row]]] = {
+    parts: dict[str, Callable[[LoadGenerators, Scale], list[Row]]] = {
         "inner": lambda _, scale: own_work(scale),
         "grid": grid,
         "failing": failing,
@@ -270,7 +270,7 @@
     given = options.parse_args()
     scale = QUICK if given.quick else FULL
     got: dict[str, float] = {}
-    with Loads(3) as loads:
+    with LoadGenerators(3) as loads:
         for name in given.only:
             for row, value, unit in parts[name](loads, scale):
                 got[row] = value
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -1,9 +1,9 @@
-"""What one proxy needs as its fleet of nodes grows: `python -m benchmarks.nodes [--quick]`.
+"""Measures the resources of one proxy as its fleet of nodes grows: `python -m benchmarks.nodes [--quick]`.
 
-The same traffic goes to one real process with few nodes and with sixteen times as many, while the list
-changes twice a second: a node drains, then it is removed and another comes cold in its place. All nodes are
-one stand-in that answers at once, so that the proxy's own needs alone differ. The bounds are the operators'
-(sixteen times the nodes, 3,200 at most). Exits with 1 where one is broken.
+The same traffic goes to one proxy process with few nodes and to one with sixteen times as many, while the
+list changes twice a second: a node drains, then it is removed and a cold one takes its place. All nodes are
+one stand-in that answers immediately, so that only the proxy's own needs differ. The bounds are those of the
+operators (sixteen times the nodes, 3,200 at most). The exit code is 1 if one is exceeded.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 SIZES: Final = ((25, 400), (200, 3_200))
 SEEDS: Final = (1, 2, 3)
 SPAN_S, QUICK_S = 20.0, 6.0
-RATE: Final = 40.0  # requests a second
+RATE_PER_S: Final = 40.0
 KEYS: Final = 2_000
-CHANGE_EVERY_S: Final = 0.5
-LOOK_S: Final = 0.2
+CHANGE_INTERVAL_S: Final = 0.5
+SAMPLE_INTERVAL_S: Final = 0.2
 SETTINGS: Final = {
     "Classes": [{"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 2000, "Effect": "repeatable"}],
     "Limits": {"MaxAttempts": 3, "SecondCopies": True, "Cancel": True},
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Needs:
-    """What a proxy used over one run; `list_kb` while discovery told changes."""
+    """Resources that a proxy used in one run; `list_kb` is the volume of discovery updates."""
 
     nodes: int
     cpu_s: float
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Over:
-    """A bound that is broken."""
+    """A bound that is exceeded."""
 
     what: str
     used: float
@@ -67,7 +67,7 @@
 
 
 def over(few: Needs, many: Needs) -> list[Over]:
-    """The operators' bounds: each a multiple of what few nodes need, and an allowance."""
+    """Returns the exceeded bounds, each a multiple of the need of few nodes plus an allowance."""
     thousands = many.nodes / 1_000
     bounds = {
         "cpu_s": 1.4 * few.cpu_s + 0.02 + 0.12 * thousands,
@@ -76,15 +76,19 @@
         "connections": 2.5 * few.connections + 40,
         "list_kb": 2 * few.list_kb + 64 + 500 * thousands,
     }
-    found = [Over(what, getattr(many, what), b) for what, b in bounds.items() if getattr(many, what) > b]
+    violations = [
+        Over(what, getattr(many, what), bound)
+        for what, bound in bounds.items()
+        if getattr(many, what) > bound
+    ]
     if many.served < 0.85 * few.served:
-        found.append(Over("served", many.served, 0.85 * few.served))
-    return found
+        violations.append(Over("served", many.served, 0.85 * few.served))
+    return violations
 
 
 @contextmanager
 def proxy(registry: Registry, folder: Path) -> Iterator[tuple[int, subprocess.Popen[bytes]]]:
-    """A process with the list as it is now: its port and itself."""
+    """Runs a proxy that starts with the current list of nodes; yields its port and its process."""
     (port,) = free_ports(1)
     file = folder / "config.json"
     file.write_text(
@@ -111,76 +115,82 @@
         process.wait()
 
 
-async def change(registry: Registry, address: str, nodes: int) -> None:
-    """Replaces one node after the other, in two steps each, without end."""
+async def replace_nodes(registry: Registry, address: str, nodes: int) -> None:
+    """Replaces one node after the other until cancelled; each first drains and is then removed."""
     old, new = 0, nodes
     while True:
-        await asyncio.sleep(CHANGE_EVERY_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
         await registry.phase(f"s-{old}", "draining")
-        await asyncio.sleep(CHANGE_EVERY_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
         await registry.phase(f"s-{old}", "removed")
         await registry.put(member(f"s-{new}", address, up_since_ms=int(time.time() * 1e3)))
         old, new = old + 1, new + 1
 
 
 async def measure(nodes: int, seed: int, span_s: float) -> Needs:
-    """One run with so many nodes."""
+    """Runs a proxy with `nodes` nodes for `span_s` seconds and returns what it needed."""
     draw, number = random.Random(seed), 0
 
-    def ask() -> tuple[bytes, str]:
+    def draw_request() -> tuple[bytes, str]:
         nonlocal number
         number += 1
-        key = int(KEYS * draw.random() ** 3)  # some are asked for often
+        key = int(KEYS * draw.random() ** 3)  # skewed: low keys are requested more often
         head = f"Host: a\r\nX-Call-Id: {number:x}\r\nX-Call-Class: read\r\nX-Budget: 2.0\r\n"
         return f"GET /api/{key * 2654435761:016x} HTTP/1.1\r\n{head}\r\n".encode(), "read"
 
-    box, registry = Box("s"), Registry()
-    dialled = 0
+    node, registry = Box("s"), Registry()
+    connections = 0
 
-    def count(step: str) -> None:
-        nonlocal dialled
-        dialled += step == "accepted"
+    def count_connections(step: str) -> None:
+        nonlocal connections
+        connections += step == "accepted"
 
-    box.hold = count
-    await box.start()
+    node.hold = count_connections
+    await node.start()
     await registry.start()
     for n in range(nodes):
-        await registry.put(member(f"s-{n}", box.address))
+        await registry.put(member(f"s-{n}", node.address))
     with tempfile.TemporaryDirectory() as folder, proxy(registry, Path(folder)) as (port, process):
         await asyncio.to_thread(wait_ready, port, process)
-        begun, told = cpu_s(process), registry.written
-        changes = asyncio.create_task(change(registry, box.address, nodes))
-        load = asyncio.create_task(Paced(port, RATE, ask).run(span_s))
+        cpu_before, written_before = cpu_s(process), registry.written
+        replacing = asyncio.create_task(replace_nodes(registry, node.address, nodes))
+        load = asyncio.create_task(Paced(port, RATE_PER_S, draw_request).run(span_s))
         memory, descriptors = 0.0, 0
         while not load.done():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             memory = max(memory, memory_mb(process))
             descriptors = max(descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
-        changes.cancel()
+        replacing.cancel()
         tally = await load
-        used, written = cpu_s(process) - begun, registry.written - told
-    box.stop()
+        used, written = cpu_s(process) - cpu_before, registry.written - written_before
+    node.stop()
     registry.stop()
     return Needs(
-        nodes, used, memory, descriptors, dialled, written / 1e3, tally.served / max(tally.asked("read"), 1)
+        nodes,
+        used,
+        memory,
+        descriptors,
+        connections,
+        written / 1e3,
+        tally.served / max(tally.asked("read"), 1),
     )
 
 
 def main() -> int:
-    """Plays all sizes, and holds the many to the few."""
-    parser = argparse.ArgumentParser(description="what a proxy needs as its fleet grows")
+    """Runs all sizes and compares many nodes with few; returns the exit code."""
+    parser = argparse.ArgumentParser(description="measures the resources of a proxy as its fleet grows")
     parser.add_argument("--quick", action="store_true", help="one seed, 6 s a run")
     quick = parser.parse_args().quick
-    broken = 0
+    violations = 0
     for few, many in SIZES:
         for seed in SEEDS[:1] if quick else SEEDS:
             pair = [asyncio.run(measure(n, seed, QUICK_S if quick else SPAN_S)) for n in (few, many)]
             for needs in pair:
                 print(needs, flush=True)
-            for one in over(*pair):
-                broken += 1
-                print(f"over: {one.what} {one.used:.2f}, at most {one.bound:.2f}", flush=True)
-    return int(broken > 0)
+            for excess in over(*pair):
+                violations += 1
+                print(f"over: {excess.what} {excess.used:.2f}, at most {excess.bound:.2f}", flush=True)
+    return int(violations > 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,4 +1,4 @@
-"""Processes for benchmarks: proxies, boxes and loads each on their own, so that none takes another's core."""
+"""Runs proxies, nodes and load generators in processes of their own, so that none uses the core of another."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 from standins.ports import free_ports
 
 ROOT = Path(__file__).resolve().parent.parent
-READY_S = 20.0
+READY_TIMEOUT_S = 20.0
 CLASSES = [
     {"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 1000, "Effect": "repeatable"},
     {"Name": "pay", "ObjectiveMs": 300, "DeadlineMs": 1000, "Effect": "once", "Points": 8},
 ]
 
 
-def _boxes(pipe: Connection, first: int, count: int, work: Work) -> None:
+def _serve_nodes(pipe: Connection, first: int, count: int, work: Work) -> None:
     async def serve() -> None:
-        fleet = [Box(f"s-{i}", work) for i in range(first, first + count)]
-        for box in fleet:
-            await box.start()
-        pipe.send([(b.name, b.address) for b in fleet])
+        nodes = [Box(f"s-{i}", work) for i in range(first, first + count)]
+        for node in nodes:
+            await node.start()
+        pipe.send([(node.name, node.address) for node in nodes])
         await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
 
     uvloop.run(serve())
 
 
-def _registry(pipe: Connection, fleet: list[tuple[str, str]]) -> None:
+def _serve_registry(pipe: Connection, fleet: list[tuple[str, str]]) -> None:
     async def serve() -> None:
         registry = Registry()
         await registry.start()
@@ -58,43 +58,43 @@
 
 
 @contextmanager
-def _child(target: Callable[..., None], *arguments: object) -> Iterator[Connection]:
-    """A process and the pipe to it; it ends when it is sent something."""
-    here, there = multiprocessing.Pipe()
-    process = multiprocessing.get_context("spawn").Process(target=target, args=(there, *arguments))
+def _run_child(target: Callable[..., None], *arguments: object) -> Iterator[Connection]:
+    """Starts a process and yields the pipe to it; sends it "end" at the exit of the context."""
+    parent_end, child_end = multiprocessing.Pipe()
+    process = multiprocessing.get_context("spawn").Process(target=target, args=(child_end, *arguments))
     process.start()
     try:
-        yield here
+        yield parent_end
     finally:
-        here.send("end")
+        parent_end.send("end")
         process.join(5)
         process.kill()
 
 
 @contextmanager
-def boxes(count: int, work: Work, processes: int = 1) -> Iterator[tuple[str, list[tuple[str, str]]]]:
-    """A fleet in processes of its own: the address of its discovery, and each box's name and address."""
+def run_nodes(count: int, work: Work, processes: int = 1) -> Iterator[tuple[str, list[tuple[str, str]]]]:
+    """Runs nodes in processes of their own; yields the discovery address and each node's name and address."""
     with ExitStack() as stack:
         edges = [count * i // processes for i in range(processes + 1)]
         pipes = [
-            stack.enter_context(_child(_boxes, first, last - first, work))
+            stack.enter_context(_run_child(_serve_nodes, first, last - first, work))
             for first, last in zip(edges, edges[1:], strict=False)
         ]
-        fleet = [box for pipe in pipes for box in pipe.recv()]
-        discovery = stack.enter_context(_child(_registry, fleet))
+        fleet = [node for pipe in pipes for node in pipe.recv()]
+        discovery = stack.enter_context(_run_child(_serve_registry, fleet))
         yield discovery.recv(), fleet
 
 
-def wait_ready(port: int, process: subprocess.Popen[bytes], sign: bytes = b" 200 ") -> None:
-    """Asks a proxy whether it is ready until its answer shows the sign."""
-    until = time.monotonic() + READY_S
-    while time.monotonic() < until:
+def wait_ready(port: int, process: subprocess.Popen[bytes], expected: bytes = b" 200 ") -> None:
+    """Waits until a proxy's readiness answer contains `expected`; RuntimeError if it exits or never does."""
+    give_up_at = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < give_up_at:
         if process.poll() is not None:
             raise RuntimeError(f"the proxy ended with {process.returncode}")
         try:
             with socket.create_connection(("127.0.0.1", port), 1) as sock:
                 sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: localhost\r\n\r\n")
-                if sign in sock.recv(100):
+                if expected in sock.recv(100):
                     return
         except OSError:
             pass
@@ -104,16 +104,22 @@
 
 @contextmanager
 def platform_proxy(
-    discovery: str, fleet: list[tuple[str, str]], root: Path = ROOT, watched: bool = False, console: int = 0
+    discovery: str,
+    fleet: list[tuple[str, str]],
+    root: Path = ROOT,
+    watch_stalls: bool = False,
+    console: int = 0,
 ) -> Iterator[tuple[int, subprocess.Popen[bytes]]]:
-    """The platform's proxy of a checkout: its port and its process; `watched` for `stalls`; with a console at
-    this port, if any."""
+    """Runs the platform's proxy of the checkout at `root`; yields its port and its process.
+
+    `watch_stalls` lets `read_stalls` measure the event loop; `console` is the console's port, 0 for none.
+    """
     (port,) = free_ports(1)
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        door = {"console": f"127.0.0.1:{console}"} if console else {}
+        console_setting = {"console": f"127.0.0.1:{console}"} if console else {}
         json.dump(
             {
-                **door,
+                **console_setting,
                 "name": "n0",
                 "listen": f"127.0.0.1:{port}",
                 "discovery": discovery,
@@ -125,30 +131,30 @@
             file,
         )
         file.flush()
-        yield from _serving(port, "notchflow", [], watched, root, ROUTER_CONFIG=file.name)
+        yield from _run_proxy(port, "notchflow", [], watch_stalls, root, ROUTER_CONFIG=file.name)
 
 
 @contextmanager
 def forwarder(
-    fleet: list[tuple[str, str]], watched: bool = False
+    fleet: list[tuple[str, str]], watch_stalls: bool = False
 ) -> Iterator[tuple[int, subprocess.Popen[bytes]]]:
-    """A bare forwarder to a fleet: its port and its process."""
+    """Runs a plain forwarder to a fleet; yields its port and its process."""
     (port,) = free_ports(1)
-    # A box does not know the path, but its answer is one.
+    # Nodes do not serve this path; any HTTP answer shows that the forwarder works.
     arguments = [str(port), *(address for _, address in fleet)]
-    yield from _serving(port, "standins.forwarder", arguments, watched, sign=b"HTTP/1.1 ")
+    yield from _run_proxy(port, "standins.forwarder", arguments, watch_stalls, expected=b"HTTP/1.1 ")
 
 
-def _serving(
+def _run_proxy(
     port: int,
     module: str,
     arguments: list[str],
-    watched: bool,
+    watch_stalls: bool,
     root: Path = ROOT,
-    sign: bytes = b" 200 ",
+    expected: bytes = b" 200 ",
     **settings: str,
 ) -> Iterator[tuple[int, subprocess.Popen[bytes]]]:
-    command = [*(["benchmarks.stall"] if watched else []), module, *arguments]
+    command = [*(["benchmarks.stall"] if watch_stalls else []), module, *arguments]
     process = subprocess.Popen(
         [sys.executable, "-m", *command],
         cwd=root,
@@ -157,7 +163,7 @@
         stderr=subprocess.DEVNULL,
     )
     try:
-        wait_ready(port, process, sign)
+        wait_ready(port, process, expected)
         yield port, process
     finally:
         process.kill()
@@ -166,9 +172,11 @@
             process.stdout.close()
 
 
-def stalls(process: subprocess.Popen[bytes]) -> tuple[float, float]:
-    """The longest stall of a watched process's loop since it was last asked, and the longest that its own
-    work caused (processor time), both in milliseconds."""
+def read_stalls(process: subprocess.Popen[bytes]) -> tuple[float, float]:
+    """Returns the longest stalls of a process's event loop since the last call, in milliseconds.
+
+    The first is in wall time, the second in the processor time of the process itself.
+    """
     assert process.stdout is not None
     process.send_signal(signal.SIGUSR1)
     wall, cpu = process.stdout.readline().split()
@@ -176,7 +184,7 @@
 
 
 def memory_mb(process: subprocess.Popen[bytes]) -> float:
-    """Resident memory of a process, MiB."""
+    """Returns the resident memory of a process in MiB."""
     for line in Path(f"/proc/{process.pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -184,18 +192,18 @@
 
 
 def cpu_s(process: subprocess.Popen[bytes]) -> float:
-    """Processor time of a process so far, seconds."""
+    """Returns the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def load(port: int, connections: int, seconds: float, draw: Draw) -> Tally:
-    """A closed loop from this process."""
+def run_closed_loop(port: int, connections: int, seconds: float, draw: Draw) -> Tally:
+    """Runs a closed loop of clients in this process."""
     return uvloop.run(closed_loop([port], connections, seconds, draw))
 
 
 def platform_draw(keys: int = 2000, seed: int = 1) -> Callable[[], tuple[bytes, str]]:
-    """Reads with keys drawn evenly, as the platform's clients send them."""
+    """Returns a function that draws reads of uniformly distributed keys in the platform's format."""
     rng = random.Random(seed)
     requests = [
         b"GET /api/%016x HTTP/1.1\r\nHost: a\r\nX-Call-Id: %016x\r\nX-Call-Class: read\r\n"
@@ -205,11 +213,11 @@
     return lambda: (requests[int(rng.random() * keys)], "read")
 
 
-def _loads(pipe: Connection, seed: int) -> None:
-    """Runs what it is told to until it is told to end."""
+def _serve_loads(pipe: Connection, seed: int) -> None:
+    """Runs the loads received from the pipe until "end" arrives."""
     draws: dict[int, Draw] = {}
-    while (order := pipe.recv()) != "end":
-        ports, connections, per_second, seconds, keys = order
+    while (command := pipe.recv()) != "end":
+        ports, connections, per_second, seconds, keys = command
         draw = draws.setdefault(keys, platform_draw(keys, seed))
         if per_second is None:
             pipe.send(uvloop.run(closed_loop(ports, connections, seconds, draw)))
@@ -217,43 +225,43 @@
             pipe.send(uvloop.run(Paced(ports[0], per_second, draw).run(seconds)))
 
 
-class Loads:
-    """Clients in processes of their own: one alone would be slower than what it asks."""
+class LoadGenerators:
+    """Load generators in several processes, as one would be slower than the proxy that it measures."""
 
     def __init__(self, processes: int) -> None:
         self.stack = ExitStack()
-        self.pipes = [self.stack.enter_context(_child(_loads, seed)) for seed in range(processes)]
+        self.pipes = [self.stack.enter_context(_run_child(_serve_loads, seed)) for seed in range(processes)]
 
-    def __enter__(self) -> Loads:
+    def __enter__(self) -> LoadGenerators:
         return self
 
     def __exit__(self, *error: object) -> None:
         self.stack.close()
 
     def run(self, ports: Sequence[int], connections: int, seconds: float, keys: int) -> Tally:
-        """A closed loop over so many connections, shared out over the processes and the ports."""
+        """Runs a closed loop with `connections` divided among the processes and the ports."""
         used = self.pipes[:connections]
         for i, pipe in enumerate(used):
             share = connections * (i + 1) // len(used) - connections * i // len(used)
             pipe.send((list(ports), share, None, seconds, keys))
-        return merged([pipe.recv() for pipe in used])
+        return merge_tallies([pipe.recv() for pipe in used])
 
     def paced(self, ports: Sequence[int], per_second: float, seconds: float, keys: int) -> Tally:
-        """An open loop at this rate over all processes."""
+        """Runs an open loop with the rate divided among all processes."""
         for pipe in self.pipes:
             pipe.send((list(ports), 0, per_second / len(self.pipes), seconds, keys))
-        return merged([pipe.recv() for pipe in self.pipes])
-
-
-def merged(tallies: Sequence[Tally]) -> Tally:
-    """One tally of several that were taken at the same time."""
-    whole = Tally()
-    for one in tallies:
-        for label, counts in one.statuses.items():
-            whole.statuses.setdefault(label, Counter()).update(counts)
-        for label, values in one.latencies.items():
-            whole.latencies.setdefault(label, []).extend(values)
-        whole.retry_after.update(one.retry_after)
-        whole.lost += one.lost
-        whole.span_s = max(whole.span_s, one.span_s)
-    return whole
+        return merge_tallies([pipe.recv() for pipe in self.pipes])
+
+
+def merge_tallies(tallies: Sequence[Tally]) -> Tally:
+    """Merges tallies that were recorded at the same time."""
+    total = Tally()
+    for tally in tallies:
+        for label, counts in tally.statuses.items():
+            total.statuses.setdefault(label, Counter()).update(counts)
+        for label, values in tally.latencies.items():
+            total.latencies.setdefault(label, []).extend(values)
+        total.retry_after.update(tally.retry_after)
+        total.lost += tally.lost
+        total.span_s = max(total.span_s, tally.span_s)
+    return total
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -45,7 +45,7 @@
 FRONT_REMOVAL_S: Final = 0.2  # the front opens new connections until this long after SIGTERM
 READY_TIMEOUT_S: Final = 20.0
 MAX_PAUSE_S: Final = 0.15
-LEAVE_PROBABILITY: Final = 0.5  # of a client with a request in progress while its instance is paused
+LEAVING: Final = 0.5  # probability, for a client with a request in progress while its instance is paused
 MAX_LEAVE_DELAY_S: Final = 0.03
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 NORMAL_WORK: Final = Work(seconds=0.005, cores=8, body=200)
@@ -326,7 +326,7 @@
         if draw.random() < 0.5:
             await asyncio.sleep(draw.uniform(0.0, MAX_LEAVE_DELAY_S))
             for client in instance.clients:
-                if draw.random() < LEAVE_PROBABILITY:
+                if draw.random() < LEAVING:
                     client.leave(draw.choice(list(Departure)))
             for box in self.nodes.values():
                 box.reset()
--- a/benchmarks/tenancy.py
+++ b/benchmarks/tenancy.py
@@ -28,12 +28,12 @@
 
 from benchmarks.rig import (
     ROOT,
-    boxes,
     cpu_s,
-    load,
     memory_mb,
     platform_draw,
     platform_proxy,
+    run_closed_loop,
+    run_nodes,
     wait_ready,
 )
 from notchflow.net.exchange import ClientRequest, Downstream
@@ -142,7 +142,7 @@
     rows: list[tuple[str, float, str]] = []
     # A burst that the fleet (400 requests a second) takes without a queue as long as the aim.
     limits = Limits(rate_per_s=limit, burst=0.2 * limit)
-    with boxes(4, Work(0.02, 2)) as (discovery, _):
+    with run_nodes(4, Work(0.02, 2)) as (discovery, _):
         with hosted(discovery, ["calm", "flood"], limits) as (port, _, tokens):
             calm = reads({"calm": tokens["calm"]}, "calm", 2_000)
             wild = reads({"flood": tokens["flood"]}, "flood", 2_000, seed=2)
@@ -166,7 +166,7 @@
     the inverse of."""
     many = [f"tenant-{i:05}" for i in range(TENANTS)]
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(boxes(3, Work()))
+        discovery, fleet = stack.enter_context(run_nodes(3, Work()))
         one_port, one, one_tokens = stack.enter_context(hosted(discovery, ["only-one"]))
         many_port, lots, many_tokens = stack.enter_context(hosted(discovery, many))
         again_port, again, again_tokens = stack.enter_context(hosted(discovery, ["only-one"]))
@@ -181,11 +181,11 @@
         cost: dict[str, list[float]] = {name: [] for name, *_ in peers}
         speed: dict[str, list[float]] = {name: [] for name, *_ in peers}
         for _, port, _, draw in peers:
-            load(port, CONNECTIONS, 2.0, draw)  # warm
+            run_closed_loop(port, CONNECTIONS, 2.0, draw)  # warm
         for order in itertools.islice(itertools.cycle([peers, peers[::-1]]), rounds):
             for name, port, process, draw in order:
                 before = cpu_s(process)
-                tally = load(port, CONNECTIONS, seconds, draw)
+                tally = run_closed_loop(port, CONNECTIONS, seconds, draw)
                 cost[name].append((cpu_s(process) - before) / tally.served * 1e6)
                 speed[name].append(tally.served / tally.span_s)
     best = {name: min(values) for name, values in cost.items()}
