--- a/benchmarks/replacement.py
+++ b/benchmarks/replacement.py
@@ -218,15 +218,15 @@
             "TMPDIR": str(self.folder),
             "PYTHONPATH": str(ROOT),
         }
-        inherited_fds: tuple[int, ...] = ()
+        passed: tuple[int, ...] = ()
         if self.listener is not None:
-            inherited_fds = (self.listener.fileno(),)
-            environment["ROUTER_ACCEPT_FD"] = str(inherited_fds[0])
+            passed = (self.listener.fileno(),)
+            environment["ROUTER_ACCEPT_FD"] = str(passed[0])
         process = subprocess.Popen(
             [sys.executable, "-m", "notchflow"],
             cwd=ROOT,
             env=os.environ | environment,
-            pass_fds=inherited_fds,
+            pass_fds=passed,
             stderr=subprocess.DEVNULL,
         )
         until = time.monotonic() + 20
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,4 +1,4 @@
-"""Runs proxies, nodes and load generators in processes of their own, so that none uses the core of another."""
+"""Runs proxies, nodes and load generators in separate processes, so that none uses another's core."""
 
 from __future__ import annotations
 
