--- a/benchmarks/effects.py
+++ b/benchmarks/effects.py
@@ -1,9 +1,9 @@
-"""What the memory of effects costs a request: `python -m benchmarks.effects [--quick]`.
+"""Measures what the memory of effects adds to a request: `python -m benchmarks.effects [--quick]`.
 
-Two hosted proxies on the same boxes, with the memory and without, asked in turn at a rate that both take
-easily: payments under ever new keys (their intent is durable before they are sent), keyed writes and reads.
-The latencies are a client's. Only payments may pay: the bar is on the middle of the others, over what two
-runs of one and the same proxy differ by.
+Hosted proxies with and without the memory serve requests from the same nodes, in turn and at a rate that
+each sustains easily: payments with a new key each (their intent is made durable before they are sent), keyed
+writes and reads. Latencies are measured at the client. Only payments may become slower: the bound applies to
+the median of the other kinds, beyond the difference between two equal proxies without the memory.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 import uvloop
 
 from benchmarks.rig import ROOT, run_nodes
-from benchmarks.tenancy import hosted, paced
+from benchmarks.tenancy import run_hosted_proxy, run_paced_loads
 from standins.box import Work
 from standins.load import Draw, Tally
 
-RATE = 120.0
-OTHERS_MAX_MS = 0.25  # more in the middle than without, for classes that pay nothing
+RATE_PER_S = 120.0
+MAX_OTHER_COST_MS = 0.25  # increase of the median of keyed writes and reads, beyond noise
 KINDS = ("pay", "slot", "read")
 
 CONFIG = """
@@ -69,64 +69,73 @@
 EFFECTS = "[effects]\nunsafe_s = 3600.0\n"
 
 
-def draw(kind: str, token: str, mark: str) -> Draw:
-    """Requests of one kind; payments and writes under a new key each."""
-    count = itertools.count()
+def create_draw(kind: str, token: str, key_prefix: str) -> Draw:
+    """Returns a function that draws requests of one kind; payments and writes have a new key each."""
+    numbers = itertools.count()
     method, path = {
         "pay": ("POST", "/orders/d{}/pay"),
         "slot": ("PUT", "/menus/d{}/slots"),
         "read": ("GET", "/menus/d{}"),
     }[kind]
 
-    def one() -> tuple[bytes, str]:
-        number = next(count)
+    def draw_request() -> tuple[bytes, str]:
+        number = next(numbers)
         body = "" if kind == "read" else "due=100"
-        key = "" if kind == "read" else f"Idempotency-Key: {mark}-{number}\r\nContent-Length: {len(body)}\r\n"
-        line = f"{method} {path.format(number % 50)} HTTP/1.1\r\nHost: a\r\n"
-        return f"{line}Authorization: Bearer {token}\r\n{key}\r\n{body}".encode(), kind
+        key = (
+            ""
+            if kind == "read"
+            else f"Idempotency-Key: {key_prefix}-{number}\r\nContent-Length: {len(body)}\r\n"
+        )
+        head = f"{method} {path.format(number % 50)} HTTP/1.1\r\nHost: a\r\n"
+        return f"{head}Authorization: Bearer {token}\r\n{key}\r\n{body}".encode(), kind
 
-    return one
+    return draw_request
 
 
 def main() -> int:
+    """Measures all kinds in turn and prints the missed bounds; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="half a minute instead of two")
+    parser.add_argument("--quick", action="store_true", help="half a minute instead of two minutes")
     quick = parser.parse_args().quick
     rounds, seconds = (2, 1.5) if quick else (4, 4.0)
-    best: dict[tuple[str, str], float] = {}
-    tails: dict[tuple[str, str], float] = {}
-    lost = 0
+    best_medians: dict[tuple[str, str], float] = {}
+    worst_p99s: dict[tuple[str, str], float] = {}
+    not_served = 0
     with ExitStack() as stack:
         discovery, _ = stack.enter_context(run_nodes(3, Work(0.002, 8)))
-        proxies = {  # their state is on the disk of this checkout
-            name: stack.enter_context(hosted(discovery, ["only-one"], config=CONFIG + more, within=ROOT))
-            for name, more in (("with", EFFECTS), ("without", ""), ("without_again", ""))
+        proxies = {  # the state is within the checkout, not on a temporary file system
+            name: stack.enter_context(
+                run_hosted_proxy(discovery, ["only-one"], config=CONFIG + section, parent=ROOT)
+            )
+            for name, section in (("with", EFFECTS), ("without", ""), ("without_again", ""))
         }
         for round_ in range(rounds):
             for name, (port, _, tokens) in proxies.items():
                 for kind in KINDS:
-                    asked = draw(kind, tokens["only-one"], f"{round_}-{name}-{kind}")
+                    requests = create_draw(kind, tokens["only-one"], f"{round_}-{name}-{kind}")
                     tally: Tally
-                    (tally,) = uvloop.run(paced(port, (RATE, asked), seconds=seconds))
-                    lost += tally.lost + tally.asked(kind) - tally.served
-                    middle = tally.percentile(0.5)
-                    best[name, kind] = min(best.get((name, kind), middle), middle)
-                    tails[name, kind] = max(tails.get((name, kind), 0.0), tally.percentile(0.99))
-    for (name, kind), middle in best.items():
-        print(f"{kind}_{name}_median = {middle:.3f} ms")
-        print(f"{kind}_{name}_p99_worst = {tails[name, kind]:.3f} ms")
-    missed = []
+                    (tally,) = uvloop.run(run_paced_loads(port, (RATE_PER_S, requests), seconds=seconds))
+                    not_served += tally.lost + tally.asked(kind) - tally.served
+                    median = tally.percentile(0.5)
+                    best_medians[name, kind] = min(best_medians.get((name, kind), median), median)
+                    worst_p99s[name, kind] = max(worst_p99s.get((name, kind), 0.0), tally.percentile(0.99))
+    for (name, kind), median in best_medians.items():
+        print(f"{kind}_{name}_median = {median:.3f} ms")
+        print(f"{kind}_{name}_p99_worst = {worst_p99s[name, kind]:.3f} ms")
+    failures = []
     for kind in KINDS:
-        cost = best["with", kind] - min(best["without", kind], best["without_again", kind])
-        noise = abs(best["without", kind] - best["without_again", kind])
+        cost = best_medians["with", kind] - min(
+            best_medians["without", kind], best_medians["without_again", kind]
+        )
+        noise = abs(best_medians["without", kind] - best_medians["without_again", kind])
         print(f"{kind}_cost = {cost:.3f} ms")
         print(f"{kind}_noise = {noise:.3f} ms")
-        if kind != "pay" and cost > OTHERS_MAX_MS + noise:
-            missed.append(kind)
-    print(f"not_served = {lost} requests")
-    for kind in missed:
+        if kind != "pay" and cost > MAX_OTHER_COST_MS + noise:
+            failures.append(kind)
+    print(f"not_served = {not_served} requests")
+    for kind in failures:
         print(f"missed: {kind} pays for the memory", file=sys.stderr)
-    return int(bool(missed) or lost > 0)
+    return int(bool(failures) or not_served > 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,10 +1,9 @@
-"""The store beside SQLite and LMDB, each with the same durability: an append is there once its waiter is
-told.
+"""Compares the store with SQLite and LMDB at equal durability: an acknowledged append is on the disk.
 
-Waiters are coroutines that each append, wait to be told, and append again. SQLite (WAL, synchronous FULL)
-and LMDB get their appends from a thread as the store does, and share their transactions in the same way
-(grouped); `single` is one transaction for each append, as programs mostly use them. All write the same
-records of 100 bytes, to the same disk, in the same run.
+Waiters are coroutines that each append, wait for the acknowledgement, and append again. SQLite (WAL,
+synchronous FULL) and LMDB receive their appends through a thread like the store, and commit all waiting
+appends in one transaction as it does (grouped); `single` has one transaction per append, the usual way to use
+them. All write the same records of 100 bytes to the same disk in the same run.
 """
 
 from __future__ import annotations
@@ -37,43 +36,49 @@
 from notchflow.store.tools import store_clock
 
 VALUE = b"v" * 64
-RECOVER_BAR_S = 5.0
+MAX_RECOVERY_S = 5.0
 WAITERS = (1, 16, 256)
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
+    """Returns the value below which this share of sorted values lies."""
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
 class Appender(Protocol):
     """A store under test."""
 
-    def submit(self, key: bytes, done: Callable[[], None]) -> None: ...
+    def submit(self, key: bytes, done: Callable[[], None]) -> None:
+        """Appends a record under the key; `done` is called on the loop once it is durable."""
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Commits what was submitted and closes the store."""
 
 
-class Ours:
-    """notchflow.store."""
+class NotchflowStore:
+    """The store of notchflow."""
 
     def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop) -> None:
         self.store = Committer(Engine(RealFiles(folder), store_clock()), loop.call_soon_threadsafe)
         self.store.start()
 
     def submit(self, key: bytes, done: Callable[[], None]) -> None:
+        """Appends a record under the key; calls `done` on the loop once it is durable."""
         self.store.submit([Change(Kind.PUT, key, VALUE)], lambda _: done())
 
     def stop(self) -> None:
+        """Commits what was submitted and closes the store."""
         self.store.stop()
 
 
 def call_all(calls: Sequence[Callable[[], None]]) -> None:
+    """Calls each function in order."""
     for call in calls:
         call()
 
 
-class Threaded:
-    """A database behind a thread that shares transactions among those who wait, or gives each its own."""
+class ThreadedDatabase:
+    """A database written by a thread, in one transaction for all waiting appends or one each (`single`)."""
 
     def __init__(
         self,
@@ -90,6 +95,7 @@
         self.thread.start()
 
     def submit(self, key: bytes, done: Callable[[], None]) -> None:
+        """Queues a record under the key; `done` is called on the loop once it is durable."""
         with self.wake:
             self.queue.append((key, done))
             self.wake.notify()
@@ -108,6 +114,7 @@
             self.loop.call_soon_threadsafe(partial(call_all, [done for _, done in group]))
 
     def stop(self) -> None:
+        """Commits what was submitted and closes the database."""
         with self.wake:
             self.stopping = True
             self.wake.notify()
@@ -115,7 +122,8 @@
         self.close()
 
 
-def sqlite(folder: Path, loop: asyncio.AbstractEventLoop, single: bool) -> Appender:
+def open_sqlite(folder: Path, loop: asyncio.AbstractEventLoop, single: bool) -> Appender:
+    """Opens SQLite with write-ahead log and full synchronization."""
     folder.mkdir()
     connection = sqlite3.connect(folder / "db", check_same_thread=False, isolation_level=None)
     connection.execute("PRAGMA journal_mode = WAL")
@@ -127,10 +135,11 @@
         connection.executemany("INSERT OR REPLACE INTO kept VALUES (?, ?)", [(key, VALUE) for key in keys])
         connection.execute("COMMIT")
 
-    return Threaded(write, connection.close, loop, single)
+    return ThreadedDatabase(write, connection.close, loop, single)
 
 
-def lightning(folder: Path, loop: asyncio.AbstractEventLoop, single: bool) -> Appender:
+def open_lmdb(folder: Path, loop: asyncio.AbstractEventLoop, single: bool) -> Appender:
+    """Opens LMDB with synchronous commits."""
     environment = lmdb.open(str(folder), map_size=1 << 32, sync=True)
 
     def write(keys: Sequence[bytes]) -> None:
@@ -138,52 +147,53 @@
             for key in keys:
                 transaction.put(key, VALUE)
 
-    return Threaded(write, environment.close, loop, single)
+    return ThreadedDatabase(write, environment.close, loop, single)
 
 
-async def load(store: Appender, waiters: int, seconds: float) -> list[float]:
-    """Milliseconds that each append took."""
+async def append_concurrently(store: Appender, waiters: int, seconds: float) -> list[float]:
+    """Appends from concurrent waiters; returns the duration of each append in milliseconds."""
     loop, until = asyncio.get_running_loop(), time.monotonic() + seconds
-    took: list[float] = []
+    durations_ms: list[float] = []
 
     async def waiter(number: int) -> None:
         count = 0
-        while (begun := time.monotonic()) < until:
+        while (started_at := time.monotonic()) < until:
             count += 1
-            told: asyncio.Future[None] = loop.create_future()
+            acknowledged: asyncio.Future[None] = loop.create_future()
             key = b"tenant-%d/order-%d-%d" % (number % 7, number, count)
-            store.submit(key, partial(told.set_result, None))
-            await told
-            took.append((time.monotonic() - begun) * 1e3)
+            store.submit(key, partial(acknowledged.set_result, None))
+            await acknowledged
+            durations_ms.append((time.monotonic() - started_at) * 1e3)
 
     await asyncio.gather(*[waiter(n) for n in range(waiters)])
-    return took
+    return durations_ms
 
 
-def appends(
-    make: Callable[[Path, asyncio.AbstractEventLoop], Appender], waiters: int, seconds: float
+def measure_appends(
+    open_store: Callable[[Path, asyncio.AbstractEventLoop], Appender], waiters: int, seconds: float
 ) -> tuple[float, list[float]]:
-    """Durable appends a second, and what each took."""
+    """Returns the durable appends per second and the duration of each in milliseconds."""
     folder = Path(tempfile.mkdtemp(dir=os.environ.get("NOTCHFLOW_BENCH_DIR", ".")))
     loop = uvloop.new_event_loop()
     try:
-        store = make(folder / "s", loop)
-        begun = time.monotonic()
-        took = loop.run_until_complete(load(store, waiters, seconds))
-        rate = len(took) / (time.monotonic() - begun)
+        store = open_store(folder / "s", loop)
+        started_at = time.monotonic()
+        durations_ms = loop.run_until_complete(append_concurrently(store, waiters, seconds))
+        rate = len(durations_ms) / (time.monotonic() - started_at)
         store.stop()
-        return rate, took
+        return rate, durations_ms
     finally:
         loop.close()
         shutil.rmtree(folder)
 
 
-def memory_mb() -> float:
+def peak_memory_mb() -> float:
+    """Returns the peak resident memory of this process in MiB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-def recovery(keys: int) -> dict[str, float]:
-    """A store of so many live keys: how long it takes to open, with hints and without."""
+def measure_recovery(keys: int) -> dict[str, float]:
+    """Measures the seconds that a store with so many live keys takes to open, with hint files and without."""
     folder = Path(tempfile.mkdtemp(dir=os.environ.get("NOTCHFLOW_BENCH_DIR", ".")))
     try:
         engine = Engine(RealFiles(folder / "s"), store_clock(), Options(64 << 20))
@@ -196,26 +206,29 @@
                 ]
             )
         engine.close()
-        found: dict[str, float] = {}
+        results: dict[str, float] = {}
         for name in ("hinted", "scanned"):
             gc.collect()
-            begun = time.monotonic()
+            started_at = time.monotonic()
             engine = Engine(RealFiles(folder / "s"), store_clock(), Options(64 << 20))
             recovered = engine.open()
-            found[name] = time.monotonic() - begun
+            results[name] = time.monotonic() - started_at
             assert recovered.records == keys and (recovered.scanned == 0) is (name == "hinted")
-            found["index_bytes_a_key"] = engine.index.memory() / keys
+            results["index_bytes_a_key"] = engine.index.memory() / keys
             engine.close()
             for hint in (folder / "s").glob("*.hint"):
                 hint.unlink()
-        return found
+        return results
     finally:
         shutil.rmtree(folder)
 
 
-def amplification(seconds: float) -> dict[str, float]:
-    """Keys that are written over and over: bytes copied by compactions for each byte written, and the disk
-    held for each byte that lives."""
+def measure_amplification(seconds: float) -> dict[str, float]:
+    """Overwrites the same keys repeatedly and measures the cost of compaction.
+
+    Returns the bytes copied by compactions per byte written, the disk space per live byte, and the number of
+    compactions.
+    """
     folder = Path(tempfile.mkdtemp(dir=os.environ.get("NOTCHFLOW_BENCH_DIR", ".")))
     try:
         engine = Engine(RealFiles(folder / "s"), store_clock(), Options(1 << 20))
@@ -230,38 +243,38 @@
         engine.compact()
         disk = sum(p.stat().st_size for p in (folder / "s").iterdir())
         live = sum(engine.index.live.values())
-        found = {
+        results = {
             "copied_a_byte": engine.copied / engine.written,
             "disk_a_live_byte": disk / live,
             "compactions": float(engine.compactions),
         }
         engine.close()
-        return found
+        return results
     finally:
         shutil.rmtree(folder)
 
 
-def index_against_dictionary(keys: int) -> dict[str, float]:
-    """Microseconds for a look-up and for a write, and bytes a key, of the index and of a plain dictionary."""
+def compare_index_with_dict(keys: int) -> dict[str, float]:
+    """Returns microseconds per look-up and write, and bytes per key, of the index and of a dictionary."""
     names = [b"tenant-%d/order-%d" % (n % 7, n) for n in range(keys)]
     index = Index()
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     for n, name in enumerate(names):
         index.put(name, Entry(n + 1, 1, n, 100, 0))
-    put = time.perf_counter() - begun
-    begun = time.perf_counter()
+    put_s = time.perf_counter() - started_at
+    started_at = time.perf_counter()
     for name in names:
         index.get(name)
-    got = time.perf_counter() - begun
+    get_s = time.perf_counter() - started_at
     plain: dict[bytes, Entry] = {}
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     for n, name in enumerate(names):
         plain[name] = Entry(n + 1, 1, n, 100, 0)
-    plain_put = time.perf_counter() - begun
-    begun = time.perf_counter()
+    plain_put_s = time.perf_counter() - started_at
+    started_at = time.perf_counter()
     for name in names:
         plain.get(name)
-    plain_got = time.perf_counter() - begun
+    plain_get_s = time.perf_counter() - started_at
     size = (
         sys.getsizeof(plain)
         + sum(
@@ -272,55 +285,56 @@
         / 1000
     )
     return {
-        "index_put": put / keys * 1e6,
-        "index_get": got / keys * 1e6,
+        "index_put": put_s / keys * 1e6,
+        "index_get": get_s / keys * 1e6,
         "index_bytes": index.memory() / keys,
-        "dict_put": plain_put / keys * 1e6,
-        "dict_get": plain_got / keys * 1e6,
+        "dict_put": plain_put_s / keys * 1e6,
+        "dict_get": plain_get_s / keys * 1e6,
         "dict_bytes": size / keys,
     }
 
 
 def main() -> int:
+    """Runs all comparisons and prints the missed bounds; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="half a minute instead of two")
+    parser.add_argument("--quick", action="store_true", help="half a minute instead of two minutes")
     quick = parser.parse_args().quick
     seconds, rounds, keys = (0.6, 2, 200_000) if quick else (2.0, 3, 1_000_000)
     stores: dict[str, Callable[[Path, asyncio.AbstractEventLoop], Appender]] = {
-        "ours": Ours,
-        "sqlite_grouped": lambda f, loop: sqlite(f, loop, False),
-        "lmdb_grouped": lambda f, loop: lightning(f, loop, False),
-        "sqlite_single": lambda f, loop: sqlite(f, loop, True),
-        "lmdb_single": lambda f, loop: lightning(f, loop, True),
+        "ours": NotchflowStore,
+        "sqlite_grouped": lambda f, loop: open_sqlite(f, loop, False),
+        "lmdb_grouped": lambda f, loop: open_lmdb(f, loop, False),
+        "sqlite_single": lambda f, loop: open_sqlite(f, loop, True),
+        "lmdb_single": lambda f, loop: open_lmdb(f, loop, True),
     }
-    missed: list[str] = []
+    failures: list[str] = []
     for waiters in WAITERS:
         best: dict[str, tuple[float, list[float]]] = {}
-        for _ in range(rounds):  # in turn, so that a slow moment of the disk meets all of them
-            for name, make in stores.items():
-                rate, took = appends(make, waiters, seconds)
+        for _ in range(rounds):  # in turn, so that a slow period of the disk affects all of them
+            for name, open_store in stores.items():
+                rate, durations_ms = measure_appends(open_store, waiters, seconds)
                 if name not in best or rate > best[name][0]:
-                    best[name] = rate, took
-        for name, (rate, took) in best.items():
+                    best[name] = rate, durations_ms
+        for name, (rate, durations_ms) in best.items():
             print(f"{name}_{waiters}_appends = {rate:.0f} /s")
-            print(f"{name}_{waiters}_median = {percentile(sorted(took), 0.5):.3f} ms")
-            print(f"{name}_{waiters}_p99 = {percentile(sorted(took), 0.99):.3f} ms")
+            print(f"{name}_{waiters}_median = {percentile(sorted(durations_ms), 0.5):.3f} ms")
+            print(f"{name}_{waiters}_p99 = {percentile(sorted(durations_ms), 0.99):.3f} ms")
         if waiters >= 16 and any(best["ours"][0] < best[name][0] for name in best if name != "ours"):
-            missed.append(f"{waiters} waiters")
-    found = recovery(keys)
-    print(f"recovery_hinted = {found['hinted']:.2f} s for {keys} keys")
-    print(f"recovery_scanned = {found['scanned']:.2f} s for {keys} keys")
-    print(f"index_recovered = {found['index_bytes_a_key']:.0f} bytes a key")
-    if found["hinted"] > RECOVER_BAR_S * keys / 1_000_000:
-        missed.append("recovery")
-    for label, value in amplification(2.0 if quick else 8.0).items():
+            failures.append(f"{waiters} waiters")
+    results = measure_recovery(keys)
+    print(f"recovery_hinted = {results['hinted']:.2f} s for {keys} keys")
+    print(f"recovery_scanned = {results['scanned']:.2f} s for {keys} keys")
+    print(f"index_recovered = {results['index_bytes_a_key']:.0f} bytes a key")
+    if results["hinted"] > MAX_RECOVERY_S * keys / 1_000_000:
+        failures.append("recovery")
+    for label, value in measure_amplification(2.0 if quick else 8.0).items():
         print(f"compaction_{label} = {value:.2f}")
-    for label, value in index_against_dictionary(keys).items():
+    for label, value in compare_index_with_dict(keys).items():
         print(f"{label} = {value:.2f} {'bytes a key' if label.endswith('bytes') else 'us'}")
-    print(f"peak_memory = {memory_mb():.0f} MiB")
-    for what in missed:
+    print(f"peak_memory = {peak_memory_mb():.0f} MiB")
+    for what in failures:
         print(f"missed: {what}", file=sys.stderr)
-    return int(bool(missed))
+    return int(bool(failures))
 
 
 if __name__ == "__main__":
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -1,8 +1,8 @@
-"""A fleet's watches that fall silent together, and lists of 1,024 nodes beside lists of 100.
+"""Measures discovery watches that fall silent together, and lists of 1,024 nodes compared with 100.
 
 `python -m benchmarks.watches [--quick]`. The fleets are emulated (`notchflow/emulator/watches.py`): all
-watches fall silent, and a node begins to drain right after. The lists go through one proxy's own steps in
-this process.
+watches fall silent, and shortly afterwards a node begins to drain. The lists are processed by one proxy's
+code in this process. The exit code is 1 if a proxy with the current watch is late or goes back to an older list.
 """
 
 from __future__ import annotations
@@ -34,10 +34,13 @@
 SILENT_MS: Final = 6_000.0
 DRAIN_MS: Final = 7_000.0
 SIZES: Final = (100, 1_024)
-MAKERS: Final = {"before": FixedWaits, "now": ListWatch}
+WATCH_CLASSES: Final = {"before": FixedWaits, "now": ListWatch}
 
 
-def silent(proxies: int, asked: bool, all_call_ms: float, make: type[ListWatch], seed: int) -> Verdict:
+def play_silence(
+    proxies: int, asked: bool, all_call_ms: float, watch_class: type[ListWatch], seed: int
+) -> Verdict:
+    """Emulates a day on which all watches fall silent shortly before a node drains."""
     day = Day(
         proxies=proxies,
         asked=asked,
@@ -46,11 +49,11 @@
         changes=(DRAIN_MS,),
         seed=seed,
     )
-    return World(day, make).play()
+    return World(day, watch_class).play()
 
 
-def fleets(console: Console, seeds: int) -> bool:
-    """Whether no fleet of today's broke anything."""
+def compare_fleets(console: Console, seeds: int) -> bool:
+    """Prints the comparison; returns whether no proxy with the current watch was late or went back."""
     table = Table(
         "way",
         "proxies",
@@ -63,29 +66,32 @@
         "refused",
         title=f"watches silent together, {seeds} seeds",
     )
-    held = True
+    correct = True
     for asked, all_call_ms in ((True, 2_000.0), (True, 8_000.0), (False, 0.0)):
         for proxies in (6, 40, 230):
-            for word, make in MAKERS.items():
-                played = [silent(proxies, asked, all_call_ms, make, seed) for seed in range(seeds)]
-                late = sum(len(v.broken) for v in played)
-                held = held and (word != "now" or not late)
+            for label, watch_class in WATCH_CLASSES.items():
+                verdicts = [
+                    play_silence(proxies, asked, all_call_ms, watch_class, seed) for seed in range(seeds)
+                ]
+                late = sum(len(v.broken) for v in verdicts)
+                correct = correct and (label != "now" or not late)
                 table.add_row(
                     "asked" if asked else "pushed",
                     str(proxies),
                     f"{all_call_ms / 1e3:g}" if asked else "-",
-                    word,
+                    label,
                     f"{late / seeds:.1f}",
-                    f"{min(v.slack_ms for v in played) / 1e3:.2f}",
-                    f"{max(v.age_ms for v in played) / 1e3:.1f}",
-                    str(max(v.busiest for v in played)),
-                    f"{statistics.mean(v.refused for v in played):.0f}",
+                    f"{min(v.slack_ms for v in verdicts) / 1e3:.2f}",
+                    f"{max(v.age_ms for v in verdicts) / 1e3:.1f}",
+                    str(max(v.busiest for v in verdicts)),
+                    f"{statistics.mean(v.refused for v in verdicts):.0f}",
                 )
     console.print(table)
-    return held
+    return correct
 
 
-def members(count: int, phase: str = "up") -> list[dict[str, Any]]:
+def create_members(count: int, phase: str = "up") -> list[dict[str, Any]]:
+    """Returns the entries of `count` nodes as discovery sends them."""
     return [
         {
             "id": f"s-{n:08x}",
@@ -101,18 +107,18 @@
     ]
 
 
-def clocked(rounds: int, step: Callable[[], object]) -> float:
-    """Milliseconds, the median of some rounds."""
-    took = []
+def measure_ms(rounds: int, step: Callable[[], object]) -> float:
+    """Returns the median duration of `step` over some rounds, in milliseconds."""
+    durations_ms = []
     for _ in range(rounds):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         step()
-        took.append((time.perf_counter() - began) * 1e3)
-    return statistics.median(took)
+        durations_ms.append((time.perf_counter() - started_at) * 1e3)
+    return statistics.median(durations_ms)
 
 
-def config_file(count: int) -> str:
-    """A proxy's file in a fleet of so many proxies and nodes."""
+def write_config(count: int) -> str:
+    """Writes the configuration of a proxy in a fleet of `count` proxies and nodes; returns its path."""
     classes = [{"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 500}]
     with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
         json.dump(
@@ -122,7 +128,7 @@
                 "discovery": "127.0.0.1:1",
                 "seed": "7",
                 "peers": [f"10.3.{n // 250}.{n % 250 + 1}:7946" for n in range(count)],
-                "known": {"revision": 1, "complete": True, "members": members(count)},
+                "known": {"revision": 1, "complete": True, "members": create_members(count)},
                 "settings": {"Classes": classes, "PeersTotal": count},
             },
             file,
@@ -130,7 +136,8 @@
     return file.name
 
 
-async def lists(console: Console, rounds: int) -> None:
+async def measure_lists(console: Console, rounds: int) -> None:
+    """Prints how long a proxy takes to process lists of each size, and the memory that they use."""
     table = Table(
         "nodes and proxies",
         "file read, ms",
@@ -142,8 +149,8 @@
     )
     settings = Settings(classes=(RequestClass("read", 300, 500),))
     for count in SIZES:
-        path = config_file(count)
-        read = clocked(rounds, partial(load, {"ROUTER_CONFIG": path}))
+        path = write_config(count)
+        read_ms = measure_ms(rounds, partial(load, {"ROUTER_CONFIG": path}))
         os.unlink(path)
         config = Config(
             name="n0",
@@ -154,37 +161,42 @@
             known=NodeList(0, True, (), {}),
         )
         host = Host(config, asyncio.get_running_loop())
-        whole = json.dumps({"revision": 2, "complete": True, "members": members(count)}, indent=2).encode()
-        one = json.dumps({"revision": 3, "complete": False, "members": members(1, "draining")}).encode()
-        leaving = members(count // 4, "draining")
-        quarter = json.dumps({"revision": 4, "complete": False, "members": leaving}).encode()
-
-        def take(data: bytes, kind: ListKind, host: Host = host) -> None:
+        full_list = json.dumps(
+            {"revision": 2, "complete": True, "members": create_members(count)}, indent=2
+        ).encode()
+        one_change = json.dumps(
+            {"revision": 3, "complete": False, "members": create_members(1, "draining")}
+        ).encode()
+        draining = create_members(count // 4, "draining")
+        quarter_drains = json.dumps({"revision": 4, "complete": False, "members": draining}).encode()
+
+        def apply(data: bytes, kind: ListKind, host: Host = host) -> None:
             host.apply(decode_node_list(json.loads(data)), kind)
 
         tracemalloc.start()
-        take(whole, ListKind.FULL)
-        size = tracemalloc.get_traced_memory()[0] / (1 << 20)
+        apply(full_list, ListKind.FULL)
+        memory_mib = tracemalloc.get_traced_memory()[0] / (1 << 20)
         tracemalloc.stop()
         table.add_row(
             str(count),
-            f"{read:.2f}",
-            f"{clocked(rounds, partial(take, whole, ListKind.FULL)):.2f}",
-            f"{clocked(rounds, partial(take, one, ListKind.DELTA)):.2f}",
-            f"{clocked(rounds, partial(take, quarter, ListKind.DELTA)):.2f}",
-            f"{size:.2f}",
+            f"{read_ms:.2f}",
+            f"{measure_ms(rounds, partial(apply, full_list, ListKind.FULL)):.2f}",
+            f"{measure_ms(rounds, partial(apply, one_change, ListKind.DELTA)):.2f}",
+            f"{measure_ms(rounds, partial(apply, quarter_drains, ListKind.DELTA)):.2f}",
+            f"{memory_mib:.2f}",
         )
     console.print(table)
 
 
 def main() -> int:
+    """Runs both measurements; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer seeds and rounds")
     quick = parser.parse_args().quick
     console = Console()
-    held = fleets(console, 2 if quick else 20)
-    asyncio.run(lists(console, 5 if quick else 30))
-    return 0 if held else 1
+    correct = compare_fleets(console, 2 if quick else 20)
+    asyncio.run(measure_lists(console, 5 if quick else 30))
+    return 0 if correct else 1
 
 
 if __name__ == "__main__":
