--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,2 +1,2 @@
-"""Measurements. Each runs as `python -m benchmarks.NAME [--quick]`, prints `name = value unit` lines and
-exits with 1 when a stated bar is missed."""
+"""Benchmarks. Each runs as `python -m benchmarks.NAME [--quick]`, prints lines `name = value unit` and exits
+with 1 if a stated bound is missed."""
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -1,9 +1,9 @@
-"""How soon the console answers, whatever the load: `python -m benchmarks.console [--quick]`.
+"""Measures how soon the console answers under load: `python -m benchmarks.console [--quick]`.
 
-The loop is kept at 100% by a closed loop of 256 connections, while 200 callers stay on the console and say
-nothing or half a call, coming back as they are dropped. Its peers in the same run are the console of a proxy
-that has nothing else to do, and the readiness on the clients' listener under the same load. Exits with 1
-where the slowest answer of the console under load took 500 ms or more, or one was missing or wrong.
+256 connections in a closed loop keep the event loop at 100%, while 200 clients of the console send nothing or
+half a request and reconnect when they are dropped. For comparison, the same run measures the console of an
+idle proxy, and the readiness on the listener for clients under the same load. The exit code is 1 if the
+slowest answer of the console under load took 500 ms or more, or an answer was missing or wrong.
 """
 
 from __future__ import annotations
@@ -20,57 +20,58 @@
 from standins.box import Work
 from standins.ports import free_ports
 
-SLOWEST_MAX_MS = 500.0
-SILENT = 200
+MAX_SLOWEST_MS = 500.0
+SILENT_CLIENTS = 200
 CONNECTIONS = 256
-EVERY_S = 0.05
+INTERVAL_S = 0.05
 
 
-def ask(port: int, path: str) -> tuple[float, bool]:
-    """Milliseconds until the whole answer, and whether it is yes."""
-    begun = time.monotonic()
+def request_console(port: int, path: str) -> tuple[float, bool]:
+    """Sends a request; returns the milliseconds until the complete answer and whether its status is 200."""
+    started_at = time.monotonic()
     try:
         with socket.create_connection(("127.0.0.1", port), 5) as sock:
             sock.sendall(f"GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n".encode())
             data = b""
-            while piece := sock.recv(1 << 16):
-                data += piece
-        return (time.monotonic() - begun) * 1e3, b" 200 " in data[:20]
+            while chunk := sock.recv(1 << 16):
+                data += chunk
+        return (time.monotonic() - started_at) * 1e3, b" 200 " in data[:20]
     except OSError:
-        return (time.monotonic() - begun) * 1e3, False
+        return (time.monotonic() - started_at) * 1e3, False
 
 
 @contextmanager
-def silent(port: int) -> Iterator[None]:
-    """So many callers that say nothing or half a call, for as long as it lasts."""
-    over = threading.Event()
-
-    def stay() -> None:
-        held: list[socket.socket] = []
-        while not over.is_set():
-            while len(held) < SILENT and not over.is_set():
+def run_silent_clients(port: int) -> Iterator[None]:
+    """Keeps SILENT_CLIENTS connections open that send nothing or half a request."""
+    stop = threading.Event()
+
+    def hold_connections() -> None:
+        sockets: list[socket.socket] = []
+        while not stop.is_set():
+            while len(sockets) < SILENT_CLIENTS and not stop.is_set():
                 try:
                     sock = socket.create_connection(("127.0.0.1", port), 1)
-                    if len(held) % 2:
+                    if len(sockets) % 2:
                         sock.sendall(b"GET /sta")
-                    held.append(sock)
+                    sockets.append(sock)
                 except OSError:
                     break
-            over.wait(0.2)
-            held = [s for s in held if not _ended(s)]
-        for sock in held:
+            stop.wait(0.2)
+            sockets = [s for s in sockets if not _close_if_ended(s)]
+        for sock in sockets:
             sock.close()
 
-    thread = threading.Thread(target=stay)
+    thread = threading.Thread(target=hold_connections)
     thread.start()
     try:
         yield
     finally:
-        over.set()
+        stop.set()
         thread.join()
 
 
-def _ended(sock: socket.socket) -> bool:
+def _close_if_ended(sock: socket.socket) -> bool:
+    """Returns whether the peer ended the connection; closes the socket if so."""
     sock.setblocking(False)
     try:
         ended = True
@@ -84,49 +85,55 @@
     return ended
 
 
-def series(seconds: float, one: Callable[[], tuple[float, bool]]) -> tuple[list[float], int]:
-    """One call after the other: their times in order, and how many were not yes."""
-    until, times, wrong = time.monotonic() + seconds, [], 0
-    while time.monotonic() < until:
-        took, yes = one()
-        times.append(took)
-        wrong += not yes
-        time.sleep(EVERY_S)
-    return sorted(times), wrong
+def repeat_requests(
+    seconds: float, send_request: Callable[[], tuple[float, bool]]
+) -> tuple[list[float], int]:
+    """Repeats a request for some seconds; returns the sorted durations and how many requests failed."""
+    end_at, durations_ms, failed = time.monotonic() + seconds, [], 0
+    while time.monotonic() < end_at:
+        duration_ms, succeeded = send_request()
+        durations_ms.append(duration_ms)
+        failed += not succeeded
+        time.sleep(INTERVAL_S)
+    return sorted(durations_ms), failed
 
 
 def main() -> int:
-    """Plays the three and holds the console under load to its bar."""
-    parser = argparse.ArgumentParser(description="how soon the console answers, whatever the load")
+    """Measures all series and checks the console under load; returns the exit code."""
+    parser = argparse.ArgumentParser(description="measures how soon the console answers under load")
     parser.add_argument("--quick", action="store_true", help="5 seconds each instead of 30")
     seconds = 5.0 if parser.parse_args().quick else 30.0
     (console,) = free_ports(1)
-    figures: dict[str, tuple[list[float], int]] = {}
+    results: dict[str, tuple[list[float], int]] = {}
     with (
         run_nodes(6, Work(), processes=2) as (discovery, fleet),
         platform_proxy(discovery, fleet, console=console) as (port, process),
         LoadGenerators(3) as loads,
     ):
-        figures["idle"] = series(seconds / 2, lambda: ask(console, "/status"))
+        results["idle"] = repeat_requests(seconds / 2, lambda: request_console(console, "/status"))
         load = threading.Thread(target=loads.run, args=([port], CONNECTIONS, 3 * seconds, 2_000))
         load.start()
-        with silent(console):
+        with run_silent_clients(console):
             time.sleep(1)
-            busy, begun = cpu_s(process), time.monotonic()
-            figures["loaded"] = series(seconds, lambda: ask(console, "/status"))
-            figures["metrics"] = series(seconds / 2, lambda: ask(console, "/status/metrics"))
-            share = (cpu_s(process) - busy) / (time.monotonic() - begun)
-            figures["readiness"] = series(seconds / 2, lambda: ask(port, "/health/ready"))
+            cpu_before, started_at = cpu_s(process), time.monotonic()
+            results["loaded"] = repeat_requests(seconds, lambda: request_console(console, "/status"))
+            results["metrics"] = repeat_requests(
+                seconds / 2, lambda: request_console(console, "/status/metrics")
+            )
+            share = (cpu_s(process) - cpu_before) / (time.monotonic() - started_at)
+            results["readiness"] = repeat_requests(
+                seconds / 2, lambda: request_console(port, "/health/ready")
+            )
         load.join()
     print(f"loop_busy = {share:.2f} of a core")
-    for name, (times, wrong) in figures.items():
-        print(f"{name}_median = {times[len(times) // 2]:.2f} ms")
-        print(f"{name}_slowest = {times[-1]:.2f} ms")
-        print(f"{name}_wrong = {wrong} calls")
+    for name, (durations_ms, failed) in results.items():
+        print(f"{name}_median = {durations_ms[len(durations_ms) // 2]:.2f} ms")
+        print(f"{name}_slowest = {durations_ms[-1]:.2f} ms")
+        print(f"{name}_wrong = {failed} calls")
     missed = [
-        f"{name}: slowest {times[-1]:.0f} ms, {wrong} wrong"
-        for name, (times, wrong) in figures.items()
-        if name in ("loaded", "metrics") and (times[-1] >= SLOWEST_MAX_MS or wrong)
+        f"{name}: slowest {durations_ms[-1]:.0f} ms, {failed} wrong"
+        for name, (durations_ms, failed) in results.items()
+        if name in ("loaded", "metrics") and (durations_ms[-1] >= MAX_SLOWEST_MS or failed)
     ]
     for line in missed:
         print(f"missed: {line}")
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -50,9 +50,11 @@
 
     def submit(self, key: bytes, done: Callable[[], None]) -> None:
         """Appends a record under the key; `done` is called on the loop once it is durable."""
+        ...
 
     def stop(self) -> None:
         """Commits what was submitted and closes the store."""
+        ...
 
 
 class NotchflowStore:
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -2,7 +2,8 @@
 
 `python -m benchmarks.watches [--quick]`. The fleets are emulated (`notchflow/emulator/watches.py`): all
 watches fall silent, and shortly afterwards a node begins to drain. The lists are processed by one proxy's
-code in this process. The exit code is 1 if a proxy with the current watch is late or goes back to an older list.
+code in this process. The exit code is 1 if a proxy with the current watch is late or goes back to an older
+list.
 """
 
 from __future__ import annotations
