--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -277,14 +277,14 @@
         )
         at += rng.uniform(0.2, 1.0)
     outcome = run_schedule(create_schedule(8, seconds, faults), 25.0)
-    mistaken = checks.nobody_buried_alive(outcome.lines)
+    false_deaths = checks.nobody_buried_alive(outcome.lines)
     suspected = sum(line["what"] == "suspect" for line in outcome.lines)
     print(
         f"calm: {seconds:.0f} s of 5% loss and {len(faults) - 1} pauses up to 300 ms, 8 instances: "
-        f"{len(mistaken)} living members held dead, {suspected} suspicions, {outcome.asked} requests, broken "
-        f"{[str(b) for b in outcome.broken]}"
+        f"{len(false_deaths)} living members held dead, {suspected} suspicions, {outcome.asked} requests, "
+        f"broken {[str(b) for b in outcome.broken]}"
     )
-    return [str(b) for b in [*mistaken, *outcome.broken]]
+    return [str(b) for b in [*false_deaths, *outcome.broken]]
 
 
 def heals(quick: bool) -> list[str]:
