--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -146,7 +146,7 @@
                 attempts += 1
             durations_ms.append((time.monotonic() - started_at) * 1e3)
             running.fleet.instances[victim].spawn()
-            await running.fleet.instances[victim].ready()
+            await running.fleet.instances[victim].wait_until_ready()
     print_spread("SIGKILL of the leader to a change that holds, 5 instances", durations_ms)
     return [] if statistics.median(durations_ms) < 1_000 else ["more than 1 s without a leader"]
 
@@ -187,10 +187,10 @@
         print(f"{count} tenants: the first state was agreed", flush=True)
         victim = running.fleet.instances["p3"]
         victim.kill()
-        running.fleet.lose_state("p3")
+        running.fleet.reset_state("p3")
         started_at = time.monotonic()
         victim.spawn()
-        await victim.ready()
+        await victim.wait_until_ready()
         print(
             f"{count} tenants: an instance without a folder takes requests after "
             f"{time.monotonic() - started_at:.1f} s",
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -26,7 +26,7 @@
 from notchflow.faults import checks
 from notchflow.faults.rig import Rig
 from notchflow.faults.schedule import Schedule, draw
-from notchflow.tenancy.limits import Bucket
+from notchflow.tenancy.limits import TokenBucket
 from notchflow.tenancy.model import Limits
 
 NAMES: Final = [f"p{number}" for number in range(5)]
@@ -235,7 +235,7 @@
     core = Budgets("p0", ["p0"], TokenTerms(), random.Random(1), 0.0)
     durations_ns: dict[str, list[float]] = {"bucket": [], "budget": []}
     for _ in range(5):
-        plain = Bucket(1e9, 0.0)
+        plain = TokenBucket(1e9, 0.0)
         started_at = time.perf_counter()
         for number in range(count):
             plain.take(number / 1e3, 1e6, 1e6)
--- a/notchflow/__main__.py
+++ b/notchflow/__main__.py
@@ -8,7 +8,7 @@
 from notchflow.net.pacing import paced_imports
 
 
-def proxy() -> int:
+def run_proxy() -> int:
     """Runs the platform's proxy; returns its exit status.
 
     With an inherited socket another process may still be serving on this machine, so imports are paced.
@@ -27,7 +27,7 @@
         from notchflow.cli import main as run_command
 
         return run_command(sys.argv[1:])
-    return proxy()
+    return run_proxy()
 
 
 if __name__ == "__main__":
--- a/notchflow/admin/api.py
+++ b/notchflow/admin/api.py
@@ -266,7 +266,7 @@
         response: Response,
         if_match: IfMatch = None,
     ) -> m.LimitsView:
-        changed = await backend.change(operations.set_limits, actor, tenant, if_match, requested.core())
+        changed = await backend.change(operations.set_limits, actor, tenant, if_match, requested.to_domain())
         response.headers["ETag"] = etag(changed)
         return m.LimitsView.of(changed, operations.defaults.limits)
 
--- a/notchflow/admin/models.py
+++ b/notchflow/admin/models.py
@@ -11,7 +11,7 @@
 
 from pydantic import AwareDatetime, BaseModel, ConfigDict, Field
 
-from notchflow.hosting.schema import LimitsModel, RouteModel, Strict, TenantId
+from notchflow.hosting.schema import LimitsModel, RouteModel, StrictModel, TenantId
 from notchflow.state.database import AuditEvent, Token
 from notchflow.tenancy.model import ApiKey, Limits, Tenant
 
@@ -50,14 +50,14 @@
 
 
 # Body of a request that creates a tenant.
-class TenantCreate(Strict):  # noqa: D101 - a docstring would be published in the OpenAPI document
+class TenantCreate(StrictModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     id: TenantId
     name: DisplayName = ""
     limits: LimitsModel | None = None
     routes: list[RouteModel] | None = Field(None, max_length=64)
 
 
-class TenantPatch(Strict):
+class TenantPatch(StrictModel):
     """What is left out stays; limits or routes set to null are the operator's defaults again."""
 
     name: DisplayName = ""
@@ -84,8 +84,8 @@
             id=tenant.id,
             name=tenant.name,
             state=tenant.state.value,
-            limits=LimitsModel.of(tenant.limits) if tenant.limits is not None else None,
-            routes=[RouteModel.of(r) for r in tenant.routes] if tenant.routes is not None else None,
+            limits=LimitsModel.from_domain(tenant.limits) if tenant.limits is not None else None,
+            routes=[RouteModel.from_domain(r) for r in tenant.routes] if tenant.routes is not None else None,
             version=tenant.version,
             created_at=to_datetime(tenant.created_at),
             changed_at=to_datetime(tenant.changed_at),
@@ -101,7 +101,7 @@
     @classmethod
     def of(cls, tenant: Tenant, defaults: Limits) -> LimitsView:
         """The limits of a stored tenant, or the defaults if it has none of its own."""
-        return cls(limits=LimitsModel.of(tenant.limits or defaults), own=tenant.limits is not None)
+        return cls(limits=LimitsModel.from_domain(tenant.limits or defaults), own=tenant.limits is not None)
 
 
 class TenantFigures(BaseModel):
@@ -129,7 +129,7 @@
 
 
 # Body of a request that issues a key.
-class KeyCreate(Strict):  # noqa: D101 - a docstring would be published in the OpenAPI document
+class KeyCreate(StrictModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     label: DisplayName = ""
     expires_at: ExpiryTime | None = None
 
@@ -162,7 +162,7 @@
 
 
 # Body of a request that issues a token for this API.
-class TokenCreate(Strict):  # noqa: D101 - a docstring would be published in the OpenAPI document
+class TokenCreate(StrictModel):  # noqa: D101 - a docstring would be published in the OpenAPI document
     label: DisplayName = ""
     tenant: TenantId | None = Field(None, description="whose token it is; null: an operator's")
     expires_at: ExpiryTime | None = None
--- a/notchflow/admin/operations.py
+++ b/notchflow/admin/operations.py
@@ -20,7 +20,7 @@
 from notchflow.tenancy.directory import retired
 from notchflow.tenancy.keys import ADMIN, KEY, matches, mint, public_id
 from notchflow.tenancy.model import TRANSITIONS, ApiKey, Limits, Tenant, TenantState
-from notchflow.tenancy.routes import faults as route_faults
+from notchflow.tenancy.routes import validate_routes as route_errors
 
 T = TypeVar("T")
 UNKNOWN_TOKEN_DIGEST: Final = bytes(32)  # used in the comparison if no such token is stored
@@ -184,7 +184,7 @@
         tenant = Tenant(
             requested.id,
             requested.name,
-            limits=requested.limits.core() if requested.limits else None,
+            limits=requested.limits.to_domain() if requested.limits else None,
             routes=self._checked_routes(requested.routes),
             created_at=now,
             changed_at=now,
@@ -196,8 +196,8 @@
     def _checked_routes(self, routes: list[RouteModel] | None) -> tuple[Any, ...] | None:
         if routes is None:
             return None
-        converted = tuple(r.core() for r in routes)
-        faults = route_faults(converted, self.defaults.classes)
+        converted = tuple(r.to_domain() for r in routes)
+        faults = route_errors(converted, self.defaults.classes)
         if faults:
             raise ApiProblem(
                 422,
@@ -265,7 +265,7 @@
             if "state" in given:
                 values["state"] = TenantState(requested.state)
             if "limits" in given:
-                values["limits"] = requested.limits.core() if requested.limits is not None else None
+                values["limits"] = requested.limits.to_domain() if requested.limits is not None else None
             if "routes" in given:
                 values["routes"] = self._checked_routes(requested.routes)
             return replace(before, **values)
--- a/notchflow/admin/server.py
+++ b/notchflow/admin/server.py
@@ -22,7 +22,7 @@
 from uvicorn.protocols.http.h11_impl import H11Protocol
 
 from notchflow.admin.operations import ApiProblem
-from notchflow.tenancy.limits import Bucket
+from notchflow.tenancy.limits import TokenBucket
 from notchflow.tenancy.problems import whole_seconds
 
 log = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
 
     def __init__(self, app: App, bounds: Bounds, clock: Callable[[], float] = time.monotonic) -> None:
         self.app, self.bounds, self.clock = app, bounds, clock
-        self.buckets: OrderedDict[str, Bucket] = OrderedDict()
+        self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Handles one ASGI connection scope; other types than `http` are ignored."""
@@ -100,7 +100,7 @@
 
     def _retry_after_s(self, address: str) -> float:
         now, bounds = self.clock(), self.bounds
-        bucket = self.buckets.pop(address, None) or Bucket(bounds.burst, now)
+        bucket = self.buckets.pop(address, None) or TokenBucket(bounds.burst, now)
         self.buckets[address] = bucket
         if len(self.buckets) > MAX_BUCKETS:
             self.buckets.popitem(last=False)
--- a/notchflow/cli.py
+++ b/notchflow/cli.py
@@ -76,11 +76,11 @@
 
 
 def _check(file: Path) -> int:
-    from notchflow.hosting.file import FileFaults, load
+    from notchflow.hosting.file import InvalidFileError, load
 
     try:
         load(file)
-    except FileFaults as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         return EXIT_USAGE
     print(f"{file}: valid")
--- a/notchflow/emulator/budgets.py
+++ b/notchflow/emulator/budgets.py
@@ -16,7 +16,7 @@
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.members import between
-from notchflow.tenancy.limits import Bucket
+from notchflow.tenancy.limits import TokenBucket
 
 RATE_TOLERANCE: Final = 1.05
 TICK_MS: Final = 50.0
@@ -65,11 +65,11 @@
 
     def __init__(self, share: float, now: float) -> None:
         self.share = share
-        self.buckets: dict[str, Bucket] = {}
+        self.buckets: dict[str, TokenBucket] = {}
 
     def take(self, key: str, now: float, rate: float, burst: float) -> float:
         """Takes a token; returns 0, or the wait in seconds until one is available."""
-        bucket = self.buckets.setdefault(key, Bucket(burst * self.share, now / 1e3))
+        bucket = self.buckets.setdefault(key, TokenBucket(burst * self.share, now / 1e3))
         return bucket.take(now / 1e3, rate * self.share, max(burst * self.share, 1.0))
 
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
@@ -88,7 +88,7 @@
     AGE_MS: Final = 1_000.0
 
     def __init__(self, now: float) -> None:
-        self.buckets: dict[str, Bucket] = {}
+        self.buckets: dict[str, TokenBucket] = {}
         self.requested: dict[str, float] = {}
         self.demand: dict[str, float] = {}
         self.reported_demand: dict[tuple[str, str], tuple[float, float]] = {}
@@ -102,7 +102,7 @@
             d for (_, k), (d, at_ms) in self.reported_demand.items() if k == key and now - at_ms < self.AGE_MS
         )
         share = own / (own + reported)
-        bucket = self.buckets.setdefault(key, Bucket(burst * share, now / 1e3))
+        bucket = self.buckets.setdefault(key, TokenBucket(burst * share, now / 1e3))
         return bucket.take(now / 1e3, rate * share, max(burst * share, 1.0))
 
     def tick(self, now: float, present: Iterable[str]) -> list[tuple[str, Any]]:
--- a/notchflow/faults/command.py
+++ b/notchflow/faults/command.py
@@ -13,8 +13,8 @@
 from notchflow.faults.rig import Outcome, Rig
 from notchflow.faults.schedule import Schedule, draw, load
 from notchflow.faults.shrink import shrink
-from notchflow.hosting.file import Fault, FileFaults
-from notchflow.hosting.fleet import StartFailed
+from notchflow.hosting.file import Issue, InvalidFileError
+from notchflow.hosting.fleet import StartError
 
 
 def parser() -> argparse.ArgumentParser:
@@ -54,12 +54,12 @@
             print(f"{options.file}: valid")
             return 0
         plans = _schedules(options)
-    except FileFaults as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         return 2
     try:
         return asyncio.run(_play(plans, options))
-    except (StartFailed, OSError) as error:
+    except (StartError, OSError) as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return 1
 
@@ -68,10 +68,10 @@
     if options.file is not None:
         return [load(options.file)]
     if not 2 <= options.instances <= 16 or options.seconds < 1 or options.plays < 1:
-        raise FileFaults(
+        raise InvalidFileError(
             Path("notchflow fleet faults"),
             [
-                Fault(
+                Issue(
                     "--instances, --seconds, --plays",
                     f"are {options.instances}, {options.seconds:g} and "
                     f"{options.plays}; 2 to 16, 1 or more, 1 or more",
--- a/notchflow/faults/rig.py
+++ b/notchflow/faults/rig.py
@@ -95,17 +95,17 @@
                 self.more,
                 self.limits or AMPLE_LIMITS,
             )
-            self.mesh = Mesh(self.fleet.places(), self.plan.seed)
+            self.mesh = Mesh(self.fleet.endpoints(), self.plan.seed)
             stack.callback(self.mesh.stop)
             self.mesh.start()
-            self.fleet.books = {name: self.mesh.address_book(name) for name in self.fleet.names}
+            self.fleet.address_books = {name: self.mesh.address_book(name) for name in self.fleet.names}
             self.fleet.prepare()
             stack.push_async_callback(self.fleet.stop)
             stack.callback(self._kill_twins)
             for instance in self.fleet.instances.values():
                 self._spawn(instance)
-            await asyncio.gather(*(instance.ready() for instance in self.fleet.instances.values()))
-            first = await self.fleet.agreed(JOIN_TIMEOUT_S, self.plan.instances)
+            await asyncio.gather(*(instance.wait_until_ready() for instance in self.fleet.instances.values()))
+            first = await self.fleet.wait_until_agreed(JOIN_TIMEOUT_S, self.plan.instances)
             self._note("joined", ms=None if first is None else first * 1e3)
             bounds = await self._bounds()
             clients = [
@@ -299,10 +299,10 @@
             await asyncio.wait(list(self.tasks), timeout=CONVERGENCE_TIMEOUT_S)
         for instance in self.fleet.instances.values():
             if instance.running and instance.name not in [twin.name for twin in self.twins]:
-                await instance.ready(joined=False)
+                await instance.wait_until_ready(joined=False)
         self._note("whole")
         running_count = sum(instance.running for instance in self.fleet.instances.values())
-        agreed = await self.fleet.agreed(CONVERGENCE_TIMEOUT_S, running_count)
+        agreed = await self.fleet.wait_until_agreed(CONVERGENCE_TIMEOUT_S, running_count)
         ms = None if agreed is None else agreed * 1e3
         if not any(twin.running for twin in self.twins):
             self._note("agreed", ms=ms)
@@ -347,7 +347,7 @@
         if instance.running:
             return
         if folder == "empty":
-            self.fleet.lose_state(instance.name)
+            self.fleet.reset_state(instance.name)
         elif folder == "copied":
             copy_folder(instance.folder / "state", instance.folder / "state.copy")
             shutil.rmtree(instance.folder / "state")
@@ -377,10 +377,10 @@
             self.stall("before SIGTERM")
             instance.terminate()
             self.stall("after SIGTERM")
-            await instance.ended()
+            await instance.wait_until_ended()
             self._note("ended", subject=instance.name, pid=instance.process.pid)
             self._spawn(instance)
-            await instance.ready(joined=False)
+            await instance.wait_until_ready(joined=False)
 
     def _start_twin(self, instance: Instance) -> None:
         folder = self.folder / f"{instance.name}-twin-{len(self.twins) + 1}"
--- a/notchflow/faults/schedule.py
+++ b/notchflow/faults/schedule.py
@@ -9,9 +9,9 @@
 
 from pydantic import Field, ValidationError
 
-from notchflow.hosting.file import Fault as FileFault
-from notchflow.hosting.file import FileFaults, place_of, read_toml, what_of
-from notchflow.hosting.schema import MemberName, Strict
+from notchflow.hosting.file import Issue as FileIssue
+from notchflow.hosting.file import InvalidFileError, format_place, read_toml, format_message
+from notchflow.hosting.schema import MemberName, StrictModel
 
 ALL: Final = "*"
 Names = Annotated[list[MemberName | Literal["*"]], Field(min_length=1)]
@@ -20,7 +20,7 @@
 PositiveSeconds = Annotated[float, Field(gt=0, le=3_600)]
 
 
-class Timed(Strict):
+class Timed(StrictModel):
     """A fault that begins at `at_s`; with `for_s` 0 it lasts until the end of the schedule."""
 
     at_s: Seconds
@@ -165,7 +165,7 @@
 ]
 
 
-class Schedule(Strict):
+class Schedule(StrictModel):
     """The faults of one run, at times in seconds from the moment when all members of the fleet agree."""
 
     instances: Annotated[int, Field(ge=1, le=16)]
@@ -201,25 +201,25 @@
 
 
 def load(path: Path) -> Schedule:
-    """Reads a schedule from a file. FileFaults lists everything that is wrong with it."""
+    """Reads a schedule from a file. InvalidFileError lists everything that is wrong with it."""
     return decode(read_toml(path), path)
 
 
 def decode(data: dict[str, Any], path: Path) -> Schedule:
-    """Validates a schedule; `path` names it in errors. FileFaults lists everything that is wrong."""
+    """Validates a schedule; `path` names it in errors. InvalidFileError lists everything that is wrong."""
     try:
         schedule = Schedule.model_validate(data)
     except ValidationError as error:
-        raise FileFaults(
+        raise InvalidFileError(
             path,
             [
-                FileFault(place_of("", e["loc"]).lstrip("."), what_of(dict(e)))
+                FileIssue(format_place("", e["loc"]).lstrip("."), format_message(dict(e)))
                 for e in error.errors(include_url=False)
             ],
         ) from None
     faults = list(_consistency_errors(schedule))
     if faults:
-        raise FileFaults(path, faults)
+        raise InvalidFileError(path, faults)
     return schedule
 
 
@@ -230,18 +230,18 @@
     return {name for names in lists for name in names} - {ALL}
 
 
-def _consistency_errors(schedule: Schedule) -> Iterable[FileFault]:
+def _consistency_errors(schedule: Schedule) -> Iterable[FileIssue]:
     """Errors that no single field shows: times beyond the end, unknown members, members in two groups."""
     for number, fault in enumerate(schedule.faults):
         place = f"faults[{number}]"
         if fault.at_s + fault.for_s > schedule.seconds:
-            yield FileFault(
+            yield FileIssue(
                 f"{place}.for_s",
                 f"ends at {fault.at_s + fault.for_s:g} s; the schedule ends at " f"{schedule.seconds:g}",
             )
         unknown = sorted(referenced_members(fault) - set(schedule.names))
         if unknown:
-            yield FileFault(
+            yield FileIssue(
                 place,
                 f"names {', '.join(unknown)}; there are {schedule.names[0]} to " f"{schedule.names[-1]}",
             )
@@ -253,7 +253,7 @@
             ]
             duplicates = sorted({n for n in members if members.count(n) > 1})
             if duplicates:
-                yield FileFault(place, f"has {', '.join(duplicates)} in two groups; each is in one at most")
+                yield FileIssue(place, f"has {', '.join(duplicates)} in two groups; each is in one at most")
 
 
 # -- drawn schedules
--- a/notchflow/hosting/bridge.py
+++ b/notchflow/hosting/bridge.py
@@ -54,7 +54,7 @@
             usage = entry.usage
             return {
                 "in_hand": usage.in_hand,
-                "bytes_held": usage.bytes,
+                "bytes_held": usage.bytes_held,
                 "asked": usage.asked,
                 "served": usage.served,
                 "failed": usage.failed,
--- a/notchflow/hosting/derived.py
+++ b/notchflow/hosting/derived.py
@@ -8,12 +8,12 @@
 from notchflow.hosting.file import OperatorFile
 from notchflow.hosting.schema import EFFECTS, AdminModel
 from notchflow.interface import Effect
-from notchflow.tenancy.door import Face
+from notchflow.tenancy.admission import AdmissionSettings
 
 
-def admission_settings(file: OperatorFile) -> Face:
+def admission_settings(file: OperatorFile) -> AdmissionSettings:
     """Settings of the admission of tenants' requests."""
-    return Face(
+    return AdmissionSettings(
         file.fleet.path_prefix,
         file.fleet.host.encode(),
         file.service.body_max,
@@ -41,4 +41,4 @@
 
 def api_defaults(file: OperatorFile) -> Defaults:
     """Known classes and default limits for the administration API."""
-    return Defaults(tuple(c.name for c in file.classes), file.tenants.limits.core())
+    return Defaults(tuple(c.name for c in file.classes), file.tenants.limits.to_domain())
--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -28,7 +28,7 @@
 from notchflow.interface import Limits, Rules, Settings
 from notchflow.net.config import Config
 from notchflow.net.node_list import NodeList, decode_node_list, parse_address
-from notchflow.tenancy.routes import faults as route_errors
+from notchflow.tenancy.routes import validate_routes as route_errors
 
 _T = TypeVar("_T")
 SECTIONS: Final = ("service", "listeners", "admin", "fleet", "classes", "tenants", "effects", "cluster")
@@ -36,22 +36,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Issue:
     """One error in a file: its place, and what is wrong and allowed."""
 
     place: str
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.what}" if self.place else self.what
+        return f"{self.place}: {self.message}" if self.place else self.message
 
 
-class FileFaults(Exception):
+class InvalidFileError(Exception):
     """An invalid operator file, with all its errors."""
 
-    def __init__(self, path: Path, faults: list[Fault]) -> None:
-        super().__init__("\n".join(f"{path}: {fault}" for fault in faults))
-        self.path, self.faults = path, faults
+    def __init__(self, path: Path, issues: list[Issue]) -> None:
+        super().__init__("\n".join(f"{path}: {issue}" for issue in issues))
+        self.path, self.issues = path, issues
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
         """The policy's settings."""
         fleet = self.fleet
         return Settings(
-            classes=tuple(c.core() for c in self.classes),
+            classes=tuple(c.to_domain() for c in self.classes),
             zone=fleet.zone,
             rules=Rules(
                 drain_grace_ms=fleet.drain_grace_ms,
@@ -139,67 +139,67 @@
 
 
 def load(path: Path) -> OperatorFile:
-    """Reads and validates a file. FileFaults."""
+    """Reads and validates a file. InvalidFileError."""
     return decode(read_toml(path), path)
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """Parses a TOML file. FileFaults."""
+    """Parses a TOML file. InvalidFileError."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise FileFaults(path, [Fault("", f"cannot be read: {error.strerror}")]) from None
+        raise InvalidFileError(path, [Issue("", f"cannot be read: {error.strerror}")]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise FileFaults(path, [Fault("", f"not TOML: {error}")]) from None
+        raise InvalidFileError(path, [Issue("", f"not TOML: {error}")]) from None
 
 
 def decode(data: Mapping[str, Any], path: Path) -> OperatorFile:
-    """Validates parsed tables; `path` is where relative paths start. FileFaults."""
-    faults = [
-        Fault(name, f"unknown section; allowed: {', '.join(SECTIONS)}")
+    """Validates parsed tables; `path` is where relative paths start. InvalidFileError."""
+    issues = [
+        Issue(name, f"unknown section; allowed: {', '.join(SECTIONS)}")
         for name in data
         if name not in SECTIONS
     ]
-    service = _section(data, "service", ServiceModel, {}, faults)
-    listeners = _section(data, "listeners", tuple[ListenerModel, ...], None, faults)
-    admin = _section(data, "admin", AdminModel, None, faults)
-    fleet = _section(data, "fleet", FleetModel, None, faults)
-    classes = _section(data, "classes", tuple[ClassModel, ...], None, faults)
-    tenants = _section(data, "tenants", TenantsModel, {}, faults)
-    effects = _section(data, "effects", EffectsModel, None, faults) if "effects" in data else None
-    cluster = _section(data, "cluster", ClusterModel, None, faults) if "cluster" in data else None
+    service = _section(data, "service", ServiceModel, {}, issues)
+    listeners = _section(data, "listeners", tuple[ListenerModel, ...], None, issues)
+    admin = _section(data, "admin", AdminModel, None, issues)
+    fleet = _section(data, "fleet", FleetModel, None, issues)
+    classes = _section(data, "classes", tuple[ClassModel, ...], None, issues)
+    tenants = _section(data, "tenants", TenantsModel, {}, issues)
+    effects = _section(data, "effects", EffectsModel, None, issues) if "effects" in data else None
+    cluster = _section(data, "cluster", ClusterModel, None, issues) if "cluster" in data else None
     secret, found = _cluster_errors(cluster, path, listeners, admin, service)
-    faults += found
-    faults += _cross_section_errors(service, listeners, admin, fleet, classes, tenants)
-    faults += _effects_errors(effects, classes)
-    if faults or None in (service, listeners, admin, fleet, classes, tenants):
-        raise FileFaults(path, faults)
+    issues += found
+    issues += _cross_section_errors(service, listeners, admin, fleet, classes, tenants)
+    issues += _effects_errors(effects, classes)
+    if issues or None in (service, listeners, admin, fleet, classes, tenants):
+        raise InvalidFileError(path, issues)
     assert service and listeners and admin and fleet and classes and tenants
     return OperatorFile(path, service, listeners, admin, fleet, classes, tenants, effects, cluster, secret)
 
 
 def _section(
-    data: Mapping[str, Any], name: str, shape: type[_T], default: Any, faults: list[Fault]
+    data: Mapping[str, Any], name: str, shape: type[_T], default: Any, issues: list[Issue]
 ) -> _T | None:
     value = data.get(name, default)
     if value is None:
-        faults.append(Fault(name, "is missing and has no default"))
+        issues.append(Issue(name, "is missing and has no default"))
         return None
     if isinstance(value, list):  # TOML has no tuples, and strict models accept only a tuple for one
         value = tuple(value)
     try:
         return TypeAdapter(shape).validate_python(value)
     except ValidationError as error:
-        faults += [Fault(place_of(name, e["loc"]), what_of(dict(e))) for e in error.errors(include_url=False)]
+        issues += [Issue(format_place(name, e["loc"]), format_message(dict(e))) for e in error.errors(include_url=False)]
         return None
 
 
-def place_of(section: str, loc: tuple[int | str, ...]) -> str:
+def format_place(section: str, loc: tuple[int | str, ...]) -> str:
     """The place of a validation error, such as `fleet.boxes[0].id`."""
     return section + "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in loc)
 
 
-def what_of(error: dict[str, Any]) -> str:
+def format_message(error: dict[str, Any]) -> str:
     """The text of a validation error: the value and what is allowed."""
     if error["type"] == "extra_forbidden":
         return "unknown name"
@@ -210,11 +210,11 @@
     return f"is {shown}; {error['msg'][0].lower()}{error['msg'][1:]}"
 
 
-def _address_errors(place: str, text: str) -> list[Fault]:
+def _address_errors(place: str, text: str) -> list[Issue]:
     try:
         parse_address(text)
     except ValueError as error:
-        return [Fault(place, str(error))]
+        return [Issue(place, str(error))]
     return []
 
 
@@ -225,55 +225,55 @@
     fleet: FleetModel | None,
     classes: tuple[ClassModel, ...] | None,
     tenants: TenantsModel | None,
-) -> list[Fault]:
+) -> list[Issue]:
     """Errors between sections; sections that are invalid by themselves are None."""
-    faults: list[Fault] = []
+    issues: list[Issue] = []
     places: dict[str, str] = {}
     listen_addresses = [(f"listeners[{i}].address", entry.address) for i, entry in enumerate(listeners or ())]
     listen_addresses += [("admin.address", admin.address)] if admin is not None else []
     if service is not None and service.console is not None:
         listen_addresses.append(("service.console", service.console))
     if listeners == ():
-        faults.append(Fault("listeners", "is empty; at least one is needed"))
+        issues.append(Issue("listeners", "is empty; at least one is needed"))
     for place, address in listen_addresses:
-        faults += _address_errors(place, address)
+        issues += _address_errors(place, address)
         if address in places:
-            faults.append(Fault(place, f"is {address!r}, which {places[address]} is already"))
+            issues.append(Issue(place, f"is {address!r}, which {places[address]} is already"))
         places[address] = place
     if fleet is not None:
-        faults += _fleet_errors(fleet)
+        issues += _fleet_errors(fleet)
     class_names = [c.name for c in classes or ()]
     for number, c in enumerate(classes or ()):
         if c.name in class_names[:number]:
-            faults.append(Fault(f"classes[{number}].name", f"is {c.name!r}, which another class has already"))
+            issues.append(Issue(f"classes[{number}].name", f"is {c.name!r}, which another class has already"))
         if c.aim_ms > c.deadline_ms:
-            faults.append(
-                Fault(
+            issues.append(
+                Issue(
                     f"classes[{number}].aim_ms", f"is {c.aim_ms:g}; at most the deadline, {c.deadline_ms:g}"
                 )
             )
         if c.effect == "keyed" and c.window_ms <= 0:
-            faults.append(
-                Fault(
+            issues.append(
+                Issue(
                     f"classes[{number}].window_ms",
                     "is 0; a keyed class states for how long boxes drop a repeat",
                 )
             )
     if classes == ():
-        faults.append(Fault("classes", "is empty; at least one is needed"))
+        issues.append(Issue("classes", "is empty; at least one is needed"))
     if tenants is not None and classes is not None:
-        for place, what in route_errors([r.core() for r in tenants.routes], class_names):
+        for place, what in route_errors([r.to_domain() for r in tenants.routes], class_names):
             index, _, field = place.partition(".")
-            faults.append(Fault(f"tenants.routes[{index}].{field}" if place else "tenants.routes", what))
-    return faults
+            issues.append(Issue(f"tenants.routes[{index}].{field}" if place else "tenants.routes", what))
+    return issues
 
 
-def _effects_errors(effects: EffectsModel | None, classes: tuple[ClassModel, ...] | None) -> list[Fault]:
+def _effects_errors(effects: EffectsModel | None, classes: tuple[ClassModel, ...] | None) -> list[Issue]:
     if effects is None:
         return []
     too_long = [c for c in classes or () if c.effect == "keyed" and c.window_ms >= effects.keyed_s * 1e3]
     return [
-        Fault(
+        Issue(
             "effects.keyed_s",
             f"is {effects.keyed_s:g}; it must outlast the window of class " f"{c.name!r}, {c.window_ms:g} ms",
         )
@@ -287,27 +287,27 @@
     listeners: tuple[ListenerModel, ...] | None,
     admin: AdminModel | None,
     service: ServiceModel | None,
-) -> tuple[bytes, list[Fault]]:
+) -> tuple[bytes, list[Issue]]:
     """The secret, and the errors of the section."""
     if cluster is None:
         return b"", []
-    faults = _roster_errors(cluster)
+    issues = _roster_errors(cluster)
     taken = {entry.address: "a listener's" for entry in listeners or ()}
     taken |= {admin.address: "admin.address"} if admin is not None else {}
     taken |= {service.console: "service.console"} if service is not None and service.console else {}
     if cluster.listen in taken:
-        faults.append(
-            Fault("cluster.listen", f"is {cluster.listen!r}, which is {taken[cluster.listen]} already")
+        issues.append(
+            Issue("cluster.listen", f"is {cluster.listen!r}, which is {taken[cluster.listen]} already")
         )
     addresses = [("cluster.listen", cluster.listen)]
     addresses += [(f"cluster.seeds[{n}]", seed) for n, seed in enumerate(cluster.seeds)]
     addresses += [(f"cluster.addresses.{name}", text) for name, text in cluster.addresses.items()]
     for place, text in addresses:
         found = _address_errors(place, text)
-        faults += found
+        issues += found
         if not found and parse_numeric_address(text) is None:
-            faults.append(
-                Fault(
+            issues.append(
+                Issue(
                     place,
                     f"is {text!r}; a numeric address is needed, as resolving a " "name would block the proxy",
                 )
@@ -315,28 +315,28 @@
     try:
         secret = read_secret(path.parent / cluster.secret, SECRET_BYTES_MIN)
     except IdentityError as error:
-        return b"", [*faults, Fault("cluster.secret", str(error))]
-    return secret, faults
+        return b"", [*issues, Issue("cluster.secret", str(error))]
+    return secret, issues
 
 
-def _roster_errors(cluster: ClusterModel) -> list[Fault]:
-    faults, roster = [], cluster.roster
+def _roster_errors(cluster: ClusterModel) -> list[Issue]:
+    issues, roster = [], cluster.roster
     if not 1 <= len(roster) <= NAMES_MAX:
-        faults.append(Fault("cluster.roster", f"has {len(roster)} names; 1 to {NAMES_MAX}"))
+        issues.append(Issue("cluster.roster", f"has {len(roster)} names; 1 to {NAMES_MAX}"))
     duplicates = sorted(name for name, count in Counter(roster).items() if count > 1)
     if duplicates:
-        faults.append(Fault("cluster.roster", f"holds {', '.join(duplicates)} twice; each name stands once"))
+        issues.append(Issue("cluster.roster", f"holds {', '.join(duplicates)} twice; each name stands once"))
     if roster and cluster.name not in roster:
-        faults.append(
-            Fault(
+        issues.append(
+            Issue(
                 "cluster.roster",
                 f"lacks {cluster.name!r}, which is cluster.name; add it, as "
                 "the roster includes every instance",
             )
         )
     if len(roster) > 1 and not cluster.seeds and not cluster.addresses:
-        faults.append(
-            Fault(
+        issues.append(
+            Issue(
                 "cluster.seeds",
                 "is empty, and so is cluster.addresses; no other instance could be found: "
                 "name at least one",
@@ -344,20 +344,20 @@
         )
     unknown = sorted(cluster.addresses.keys() - set(roster))
     if unknown:
-        faults.append(Fault(f"cluster.addresses.{unknown[0]}", "is not on the roster"))
-    return faults
+        issues.append(Issue(f"cluster.addresses.{unknown[0]}", "is not on the roster"))
+    return issues
 
 
-def _fleet_errors(fleet: FleetModel) -> list[Fault]:
-    faults: list[Fault] = []
+def _fleet_errors(fleet: FleetModel) -> list[Issue]:
+    issues: list[Issue] = []
     if (fleet.discovery is None) == (not fleet.boxes):
-        faults.append(Fault("fleet", "needs either discovery or boxes, and not both"))
+        issues.append(Issue("fleet", "needs either discovery or boxes, and not both"))
     if fleet.discovery is not None:
-        faults += _address_errors("fleet.discovery", fleet.discovery)
+        issues += _address_errors("fleet.discovery", fleet.discovery)
     seen: set[str] = set()
     for number, box in enumerate(fleet.boxes):
-        faults += _address_errors(f"fleet.boxes[{number}].address", box.address)
+        issues += _address_errors(f"fleet.boxes[{number}].address", box.address)
         if box.id in seen:
-            faults.append(Fault(f"fleet.boxes[{number}].id", f"is {box.id!r}, which another box has already"))
+            issues.append(Issue(f"fleet.boxes[{number}].id", f"is {box.id!r}, which another box has already"))
         seen.add(box.id)
-    return faults
+    return issues
--- a/notchflow/hosting/fleet.py
+++ b/notchflow/hosting/fleet.py
@@ -43,7 +43,7 @@
 """
 
 
-class StartFailed(Exception):
+class StartError(Exception):
     """An instance did not start; the message holds the end of its log."""
 
 
@@ -100,8 +100,8 @@
             )
         self.paused = False
 
-    async def ready(self, joined: bool = True) -> None:
-        """Waits until it accepts requests, or, if not `joined`, until it listens. StartFailed."""
+    async def wait_until_ready(self, joined: bool = True) -> None:
+        """Waits until it accepts requests, or, if not `joined`, until it listens. StartError."""
         deadline = time.monotonic() + START_TIMEOUT_S
         async with httpx.AsyncClient(trust_env=False) as http:
             while time.monotonic() < deadline and self.running:
@@ -112,7 +112,7 @@
                 except httpx.HTTPError:
                     pass
                 await asyncio.sleep(0.02)
-        raise StartFailed(f"{self.name} did not start:\n{self.log[-2_000:]}")
+        raise StartError(f"{self.name} did not start:\n{self.log[-2_000:]}")
 
     def _signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
@@ -138,7 +138,7 @@
         """Sends SIGTERM, which starts a graceful stop."""
         self._signal(signal.SIGTERM)
 
-    async def ended(self) -> int:
+    async def wait_until_ended(self) -> int:
         """Waits for the end after `terminate`, kills the process if it takes too long; its exit status."""
         assert self.process is not None
         try:
@@ -190,14 +190,14 @@
             self.instances[name] = Instance(name, folder / name, instance_ports, self.operator.token)
         self.secret = folder / "cluster.secret"
         # For each instance the addresses of members in its operator file.
-        self.books: dict[str, Mapping[str, str]] = {}
+        self.address_books: dict[str, Mapping[str, str]] = {}
 
     @property
     def tokens(self) -> dict[str, str]:
         """Each tenant's API key."""
         return {tenant: key.token for tenant, key in self.keys.items()}
 
-    def places(self) -> dict[str, tuple[str, int]]:
+    def endpoints(self) -> dict[str, tuple[str, int]]:
         """Host and port of each member's cluster sockets."""
         return {name: ("127.0.0.1", one.ports.cluster) for name, one in self.instances.items()}
 
@@ -208,14 +208,14 @@
             os.write(handle, secrets.token_bytes(SECRET_BYTES_MIN))
             os.close(handle)
         for name in self.names:
-            self.write(name)
-            self.fill(name)
+            self.write_file(name)
+            self.write_state(name)
 
-    def write(self, name: str) -> None:
+    def write_file(self, name: str) -> None:
         """Writes an instance's operator file."""
         instance = self.instances[name]
         instance.folder.mkdir(parents=True, exist_ok=True)
-        book = self.books.get(name, {})
+        book = self.address_books.get(name, {})
         seeds = (
             [f"127.0.0.1:{other.ports.cluster}" for other in self.instances.values()]
             if not book
@@ -237,7 +237,7 @@
             )
         )
 
-    def fill(self, name: str) -> None:
+    def write_state(self, name: str) -> None:
         """Writes the tenants, keys and operator token into an instance's state, if it has none yet."""
         state = self.instances[name].folder / "state"
         if state.exists():
@@ -250,16 +250,16 @@
                 db.put_key(ApiKey(key.id, tenant, key.digest))
         db.close()
 
-    def lose_state(self, name: str) -> None:
+    def reset_state(self, name: str) -> None:
         """Replaces an instance's state by the initial one, as after the loss of its disk."""
         shutil.rmtree(self.instances[name].folder / "state", ignore_errors=True)
-        self.fill(name)
+        self.write_state(name)
 
     async def start(self) -> None:
         """Starts all instances, and waits until each accepts requests."""
         for one in self.instances.values():
             one.spawn()
-        await asyncio.gather(*(one.ready() for one in self.instances.values()))
+        await asyncio.gather(*(one.wait_until_ready() for one in self.instances.values()))
 
     async def views(self) -> dict[str, dict[str, Any]]:
         """The fleet as each running instance sees it, by name."""
@@ -267,7 +267,7 @@
         views = await asyncio.gather(*(one.view() for one in running))
         return {one.name: view for one, view in zip(running, views, strict=True) if view is not None}
 
-    async def agreed(self, seconds: float, living: int | None = None) -> float | None:
+    async def wait_until_agreed(self, seconds: float, living: int | None = None) -> float | None:
         """Waits until all running instances have the same view, with `living` members alive (default: all
         that run); returns the seconds taken, or None after `seconds`."""
         started = time.monotonic()
@@ -291,7 +291,7 @@
         for one in running:
             one.resume()
             one.terminate()
-        await asyncio.gather(*(one.ended() for one in running))
+        await asyncio.gather(*(one.wait_until_ended() for one in running))
 
     def kill(self) -> None:
         """Kills all instances."""
--- a/notchflow/hosting/fleet_up.py
+++ b/notchflow/hosting/fleet_up.py
@@ -17,7 +17,7 @@
 from rich.table import Table
 
 from notchflow.hosting.demo import PRINT_INTERVAL_S, TENANTS, request_generator, start_stand_ins
-from notchflow.hosting.fleet import Fleet, StartFailed
+from notchflow.hosting.fleet import Fleet, StartError
 from standins.load import Observe, Paced
 
 MAX_INSTANCES: Final = 16
@@ -152,6 +152,6 @@
         return 2
     try:
         return uvloop.run(_up(count, folder, seconds, rate, plain))
-    except (StartFailed, OSError) as error:
+    except (StartError, OSError) as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return 1
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -102,7 +102,7 @@
         self.history = History(history, model.name)
         incarnation = Incarnation(claim.epoch, secrets.randbits(62))
         me = Record(model.name, incarnation, 0, State.ALIVE, model.listen, _version())
-        self.members = Members(me, model.roster, model.core(), Random(secrets.randbits(64)), model.seeds)
+        self.members = Members(me, model.roster, model.to_domain(), Random(secrets.randbits(64)), model.seeds)
         self.transport = ClusterTransport(
             loop, self.members, secret, model.listen, model.addresses, self._save_epoch, self._on_event
         )
--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -13,7 +13,7 @@
 from notchflow.net.host import Host
 from notchflow.net.node_list import NodeList
 from notchflow.tenancy import metrics as tenant_metrics
-from notchflow.tenancy.door import TenantDoor
+from notchflow.tenancy.admission import TenantAdmission
 
 GONE_SHOWN_MS: Final = 60_000.0  # how long a node that is gone is still shown
 
@@ -21,13 +21,13 @@
 class HostedHost(Host):
     """A host that also tracks names, addresses and states of its nodes for the administration API."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, door: TenantDoor) -> None:
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, admission: TenantAdmission) -> None:
         # By node: name, address, state and when it changed (ms).
         self.shown_nodes: dict[int, tuple[str, str, State, float]] = {}
-        self.tenants = door.directory
+        self.tenants = admission.directory
         self.keeper: Keeper | None = None
         self.membership: Membership | None = None
-        super().__init__(config, loop, door)
+        super().__init__(config, loop, admission)
 
     def apply(self, listing: NodeList, kind: ListKind) -> None:
         """Applies a list of nodes and records their names, addresses and states."""
--- a/notchflow/hosting/schema.py
+++ b/notchflow/hosting/schema.py
@@ -27,13 +27,13 @@
 Address = Annotated[str, Field(pattern=r"^(\[[0-9A-Fa-f:.]+\]|[^\[\]:\s]+):[0-9]{1,5}$", max_length=255)]
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """Base model: unknown names are errors, and values are not converted to another type."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
 
-class LimitsModel(Strict):
+class LimitsModel(StrictModel):
     """What one tenant may take of one proxy."""
 
     rate_per_s: float = Field(100.0, gt=0, le=1e6, description="requests a second")
@@ -42,12 +42,12 @@
     bytes_held: int = Field(8 << 20, ge=1, le=1 << 40, description="bytes of request bodies in memory")
     weight: float = Field(1.0, gt=0, le=1e6, description="part of the proxy under pressure, against others")
 
-    def core(self) -> Limits:
+    def to_domain(self) -> Limits:
         """The limits as the tenancy package has them."""
         return Limits(**self.model_dump())
 
     @classmethod
-    def of(cls, limits: Limits) -> LimitsModel:
+    def from_domain(cls, limits: Limits) -> LimitsModel:
         """The model of limits."""
         return cls(
             rate_per_s=limits.rate_per_s,
@@ -58,7 +58,7 @@
         )
 
 
-class RouteModel(Strict):
+class RouteModel(StrictModel):
     """A method and a path template to a request class."""
 
     method: Method
@@ -69,12 +69,12 @@
         "optional", description="whether an Idempotency-Key must be sent; keyed classes need one anyway"
     )
 
-    def core(self) -> Route:
+    def to_domain(self) -> Route:
         """The route as the tenancy package has it."""
         return Route(self.method, self.path, self.cls, tuple(self.key), self.idempotency == "required")
 
     @classmethod
-    def of(cls, route: Route) -> RouteModel:
+    def from_domain(cls, route: Route) -> RouteModel:
         """The model of a route."""
         return cls.model_validate(
             {
@@ -90,7 +90,7 @@
 EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
 
 
-class ClassModel(Strict):
+class ClassModel(StrictModel):
     """A request class."""
 
     name: ClassName
@@ -100,7 +100,7 @@
     effect: Literal["safe", "keyed", "unsafe"]
     window_ms: float = Field(0.0, ge=0)
 
-    def core(self) -> RequestClass:
+    def to_domain(self) -> RequestClass:
         """The class as the policy has it."""
         return RequestClass(
             self.name,
@@ -112,7 +112,7 @@
         )
 
 
-class ServiceModel(Strict):
+class ServiceModel(StrictModel):
     """The process: its name, state folder and resource limits."""
 
     name: str = Field("hosted", pattern=r"^[A-Za-z0-9._-]{1,64}$")
@@ -124,7 +124,7 @@
     console: Address | None = None
 
 
-class EffectsModel(Strict):
+class EffectsModel(StrictModel):
     """The effect memory; without this section, effects are not remembered."""
 
     folder: str = Field("effects", min_length=1)
@@ -137,7 +137,7 @@
 MemberName = Annotated[str, Field(pattern=NAME_PATTERN)]
 
 
-class ClusterModel(Strict):
+class ClusterModel(StrictModel):
     """The fleet that this instance is a member of; without this section it runs alone."""
 
     name: MemberName
@@ -153,20 +153,20 @@
     rules: Literal["fleet", "instance"] = "instance"
     history: str | None = None
 
-    def core(self) -> Settings:
+    def to_domain(self) -> Settings:
         """The settings as the cluster package has them."""
         return Settings(
             contact_ms=self.contact_ms, probe_timeout_ms=self.probe_timeout_ms, suspicion_ms=self.suspicion_ms
         )
 
 
-class ListenerModel(Strict):
+class ListenerModel(StrictModel):
     """A listener for clients."""
 
     address: Address
 
 
-class BoxModel(Strict):
+class BoxModel(StrictModel):
     """A node of a static list."""
 
     id: str = Field(min_length=1, max_length=128)
@@ -176,7 +176,7 @@
     size: float = Field(1.0, gt=0)
 
 
-class FleetModel(Strict):
+class FleetModel(StrictModel):
     """The nodes, from discovery or as a static list, and the policy's settings for them."""
 
     discovery: Address | None = None
@@ -195,7 +195,7 @@
     fall_ms: float = Field(1_000.0, gt=0)
 
 
-class AdminModel(Strict):
+class AdminModel(StrictModel):
     """The administration listener and its own limits."""
 
     address: Address
@@ -207,7 +207,7 @@
     connections: int = Field(64, ge=1, le=10_000)
 
 
-class TenantsModel(Strict):
+class TenantsModel(StrictModel):
     """Defaults for tenants without limits or routes of their own."""
 
     limits: LimitsModel = LimitsModel()
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -23,7 +23,7 @@
 from notchflow.effects.keeper import Keeper
 from notchflow.hosting.bridge import LoopBridge, apply
 from notchflow.hosting.derived import admin_bounds, admission_settings, api_defaults, effect_rules
-from notchflow.hosting.file import FileFaults, OperatorFile, load
+from notchflow.hosting.file import InvalidFileError, OperatorFile, load
 from notchflow.hosting.membership import Membership
 from notchflow.hosting.proxy import HostedHost
 from notchflow.hosting.rules import FleetRules
@@ -38,7 +38,7 @@
 from notchflow.store.manifest import ManifestError
 from notchflow.store.tools import store_clock
 from notchflow.tenancy.directory import Directory
-from notchflow.tenancy.door import TenantDoor
+from notchflow.tenancy.admission import TenantAdmission
 from notchflow.tenancy.model import Tenant, TenantState
 
 log = logging.getLogger(__name__)
@@ -63,16 +63,16 @@
         try:
             self.operations = Operations(self.db, api_defaults(file))
             self.directory = Directory(
-                file.tenants.limits.core(),
-                [r.core() for r in file.tenants.routes],
+                file.tenants.limits.to_domain(),
+                [r.to_domain() for r in file.tenants.routes],
                 file.service.in_hand,
                 self._finish_retirement,
             )
-            self.door = TenantDoor(
+            self.admission = TenantAdmission(
                 self.directory, admission_settings(file), self._pressure, secrets.token_hex(4).encode()
             )
-            self.host = HostedHost(file.config(secrets.randbits(64)), loop, self.door)
-            self.door.host = self.host
+            self.host = HostedHost(file.config(secrets.randbits(64)), loop, self.admission)
+            self.admission.host = self.host
             self._join_fleet()
             self._open_effect_store()
             self.bridge = LoopBridge(loop, self.directory, self.host)
@@ -109,10 +109,10 @@
         self.membership = self.host.membership = membership
         membership.on_accepting_changed.append(self._update_availability)
         self.directory.shared = membership.limits
-        self.door.readiness_reply = lambda: membership.ready(self.host.lifecycle.draining)
+        self.admission.readiness_reply = lambda: membership.ready(self.host.lifecycle.draining)
         if membership.rules is not None:
             membership.rules.on_applied = self._apply_agreed
-            self.door.check_rules = membership.rules.rejection
+            self.admission.check_rules = membership.rules.rejection
         self._update_availability()
 
     def _fleet_rules(self) -> FleetRules | None:
@@ -146,7 +146,7 @@
 
     def _update_availability(self) -> None:
         assert self.membership is not None
-        self.door.unavailable_reply = self.membership.unavailable_reply()
+        self.admission.unavailable_reply = self.membership.unavailable_reply()
 
     def _open_effect_store(self) -> None:
         """Opens and recovers the effect store. StoreError, ManifestError, Locked, OSError."""
@@ -167,7 +167,7 @@
         )
         keeper = Keeper(committer, self.host, self.host.timers.cancel)
         keeper.rules = effect_rules(file)
-        self.door.memory = self.host.keeper = keeper
+        self.admission.memory = self.host.keeper = keeper
 
     def _pressure(self) -> float:
         return self.host.balancer.throttle.pressure()
@@ -224,7 +224,7 @@
         """Reloads the operator file; returns, and logs, the changed settings that need a restart."""
         try:
             file = load(self.file.path)
-        except FileFaults as error:
+        except InvalidFileError as error:
             log.error("the operator file stays as it was: %s", error)
             self.host.metrics.cfg_invalid += 1
             return []
@@ -267,10 +267,10 @@
         if self.membership is not None and self.membership.limits is not None:
             self.membership.limits.set_max_in_hand(self.host.longest_deadline_ms)
         self.directory.set_defaults(
-            file.tenants.limits.core(), [r.core() for r in file.tenants.routes], file.service.in_hand
+            file.tenants.limits.to_domain(), [r.to_domain() for r in file.tenants.routes], file.service.in_hand
         )
         self.operations.defaults = api_defaults(file)
-        self.door.settings = admission_settings(file)
+        self.admission.settings = admission_settings(file)
         if self.host.keeper is not None:
             self.host.keeper.rules = effect_rules(replace(file, effects=self.file.effects))
         self.admin.bounded.bounds = replace(
@@ -357,7 +357,7 @@
     """
     try:
         file = load(path)
-    except FileFaults as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         return 2
     sys.setswitchinterval(SWITCH_INTERVAL_S)
--- a/notchflow/hosting/shared_limits.py
+++ b/notchflow/hosting/shared_limits.py
@@ -257,7 +257,7 @@
 def tenant_metric_values(usage: Usage) -> MetricValues:
     """A tenant's metrics in the order of TENANT_METRICS."""
     reasons = (usage.refused.get(reason, 0) for reason in TENANT_METRICS[3:9])
-    return (usage.asked, usage.served, usage.failed, *reasons, usage.in_hand, usage.bytes)
+    return (usage.asked, usage.served, usage.failed, *reasons, usage.in_hand, usage.bytes_held)
 
 
 def class_metric_values(counts: ClassCounts) -> MetricValues:
--- a/notchflow/tenancy/door.py
+++ b/notchflow/tenancy/admission.py
@@ -19,7 +19,7 @@
 from notchflow.tenancy.directory import AuthFailure, Directory, Entry
 from notchflow.tenancy.limits import Rejection
 from notchflow.tenancy.model import TenantState
-from notchflow.tenancy.paths import HOST, PathFault, Target, normalise
+from notchflow.tenancy.paths import HOST, PathError, Target, normalise_target
 from notchflow.tenancy.problems import reply
 from notchflow.tenancy.routes import Match
 
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Face:
+class AdmissionSettings:
     """Admission settings.
 
     prefix: path prefix of all tenants at the nodes; host: Host header sent to nodes; body_max: maximum body
@@ -126,7 +126,7 @@
     """A tenant's request from the end of its head to its response (see `notchflow.net.exchange.Ticket`)."""
 
     __slots__ = (
-        "door",
+        "admission",
         "entry",
         "match",
         "target",
@@ -136,8 +136,8 @@
         "tracked_request",
     )
 
-    def __init__(self, door: TenantDoor, entry: Entry, match: Match, target: Target) -> None:
-        self.door, self.entry, self.match, self.target = door, entry, match, target
+    def __init__(self, admission: TenantAdmission, entry: Entry, match: Match, target: Target) -> None:
+        self.admission, self.entry, self.match, self.target = admission, entry, match, target
         self.admitted_at = 0.0  # monotonic seconds; 0: not admitted
         self.charged_bytes = 0  # body bytes counted against the tenant's `bytes_held`
         self.over_limit = False  # the body would exceed the tenant's `bytes_held`
@@ -145,7 +145,7 @@
 
     def charge(self, size: int) -> bool:
         """Charges body bytes to the tenant; False if that would exceed its limit."""
-        if not self.door.directory.charge(self.entry, size):
+        if not self.admission.directory.charge(self.entry, size):
             self.over_limit = True
             return False
         self.charged_bytes += size
@@ -156,18 +156,18 @@
         tracked, self.tracked_request = self.tracked_request, None
         if tracked is not None:
             tracked.ended(status, ran)
-        self.entry.usage.bytes -= self.charged_bytes
+        self.entry.usage.bytes_held -= self.charged_bytes
         if self.admitted_at:
-            self.door.directory.finish(self.entry, max(time.monotonic() - self.admitted_at, 0.0), status)
+            self.admission.directory.finish(self.entry, max(time.monotonic() - self.admitted_at, 0.0), status)
 
 
-class TenantDoor:
+class TenantAdmission:
     """The gateway of the hosted service (see `notchflow.net.exchange.Gateway`)."""
 
     def __init__(
         self,
         directory: Directory,
-        settings: Face,
+        settings: AdmissionSettings,
         pressure: Callable[[], float],
         run_id: bytes,
         wall_clock: Callable[[], float] = time.time,
@@ -230,8 +230,8 @@
         if isinstance(entry, AuthFailure):
             return self.denied[entry]
         try:
-            target = normalise(call.url)
-        except PathFault as error:
+            target = normalise_target(call.url)
+        except PathError as error:
             return reply(400, "path-ambiguous", f"{error}.")
         path = target.path
         # The long form, /t/<tenant>/...: paths of other tenants do not exist.
--- a/notchflow/tenancy/directory.py
+++ b/notchflow/tenancy/directory.py
@@ -159,9 +159,9 @@
 
     def charge(self, entry: Entry, size: int) -> bool:
         """Counts bytes held for a tenant; returns False, and counts nothing, if that exceeds its limit."""
-        if entry.usage.bytes + size > entry.limits.bytes_held:
+        if entry.usage.bytes_held + size > entry.limits.bytes_held:
             return False
-        entry.usage.bytes += size
+        entry.usage.bytes_held += size
         return True
 
     def finish(self, entry: Entry, in_hand_s: float, status: int) -> None:
--- a/notchflow/tenancy/limits.py
+++ b/notchflow/tenancy/limits.py
@@ -37,7 +37,7 @@
     retry_after_s: float
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket that spaces the retry times of the requests that it rejects."""
 
     __slots__ = ("tokens", "updated_at", "last_retry_at")
@@ -90,7 +90,7 @@
     __slots__ = (
         "bucket",
         "in_hand",
-        "bytes",
+        "bytes_held",
         "counted_weight",
         "mean_in_hand_s",
         "asked",
@@ -101,9 +101,9 @@
     )
 
     def __init__(self, burst: float, now: float, bucket: TokenSource | None = None) -> None:
-        self.bucket: TokenSource = bucket or Bucket(burst, now)
+        self.bucket: TokenSource = bucket or TokenBucket(burst, now)
         self.slots: Slots | None = None  # None: only the local count `in_hand` is limited
-        self.in_hand = self.bytes = 0
+        self.in_hand = self.bytes_held = 0
         self.counted_weight = 0.0  # its weight as counted in FairShares.weight while it has requests in hand
         self.mean_in_hand_s = 0.0  # smoothed time that a request is in hand
         self.asked = self.served = self.failed = 0
--- a/notchflow/tenancy/paths.py
+++ b/notchflow/tenancy/paths.py
@@ -24,7 +24,7 @@
 HOST: Final = re.compile(rb"(?:[A-Za-z0-9._-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\])(?::[0-9]{1,5})?")
 
 
-class PathFault(ValueError):
+class PathError(ValueError):
     """A target that is invalid or ambiguous; the message names the problem."""
 
 
@@ -45,36 +45,36 @@
 def _unescape(escape: re.Match[bytes]) -> bytes:
     octet = int(escape[1], 16)
     if octet in AMBIGUOUS_OCTETS:
-        raise PathFault(f"the escape {escape[0].decode()} is read differently by different servers")
+        raise PathError(f"the escape {escape[0].decode()} is read differently by different servers")
     return bytes((octet,)) if octet in UNRESERVED_OCTETS else b"%%%02X" % octet
 
 
 def _normalise_segment(raw: bytes) -> bytes:
     if not raw:
-        raise PathFault("an empty segment (two slashes in a row)")
+        raise PathError("an empty segment (two slashes in a row)")
     if SEGMENT.fullmatch(raw) is None:
-        raise PathFault("a character that no path has, or a % without two hexadecimal digits")
+        raise PathError("a character that no path has, or a % without two hexadecimal digits")
     normal = ESCAPE.sub(_unescape, raw)
     if normal in (b".", b".."):
-        raise PathFault("a dot segment")
+        raise PathError("a dot segment")
     return normal
 
 
-def normalise(url: bytes) -> Target:
-    """Parses and normalises a target in origin or absolute form (RFC 9112 section 3.2). PathFault."""
+def normalise_target(url: bytes) -> Target:
+    """Parses and normalises a target in origin or absolute form (RFC 9112 section 3.2). PathError."""
     authority = None
     if not url.startswith(b"/"):
         absolute = ABSOLUTE_FORM.fullmatch(url)
         if absolute is None:
-            raise PathFault("neither a path nor an http:// address")
+            raise PathError("neither a path nor an http:// address")
         authority, url = absolute[1], absolute[2] or b"/"
         if HOST.fullmatch(authority) is None:
-            raise PathFault("an address without a proper host")
+            raise PathError("an address without a proper host")
     path, separator, query = url.partition(b"?")
     if len(path) > PATH_MAX or path.count(b"/") > SEGMENTS_MAX:
-        raise PathFault(f"a path of over {PATH_MAX} octets or {SEGMENTS_MAX} segments")
+        raise PathError(f"a path of over {PATH_MAX} octets or {SEGMENTS_MAX} segments")
     if separator and QUERY.fullmatch(query) is None:
-        raise PathFault("a character that no query has, or a % without two hexadecimal digits")
+        raise PathError("a character that no query has, or a % without two hexadecimal digits")
     if NORMAL_PATH.fullmatch(path) is None and path != b"/":
         *segments, last = path[1:].split(b"/")
         path = (
--- a/notchflow/tenancy/routes.py
+++ b/notchflow/tenancy/routes.py
@@ -12,12 +12,12 @@
 from typing import Final
 
 from notchflow.tenancy.model import METHODS, ROUTES_MAX, Route
-from notchflow.tenancy.paths import PathFault, normalise
+from notchflow.tenancy.paths import PathError, normalise_target
 
 PARAMETER: Final = re.compile(r"\{([a-z][a-z0-9_]{0,31})\}")
 
 
-def faults(routes: Iterable[Route], classes: Collection[str]) -> list[tuple[str, str]]:
+def validate_routes(routes: Iterable[Route], classes: Collection[str]) -> list[tuple[str, str]]:
     """Validates routes; returns for each error its place (`0.path`) and what is wrong and allowed."""
     found: list[tuple[str, str]] = []
     seen: dict[tuple[str, str], int] = {}
@@ -58,8 +58,8 @@
     if not plain.startswith("/") or not plain.isascii():
         return "a template begins with / and is ASCII"
     try:
-        normal = normalise(plain.encode())
-    except PathFault as error:
+        normal = normalise_target(plain.encode())
+    except PathError as error:
         return str(error)
     if normal.path != plain or normal.query is not None:
         return f"not in normal form, which is {normal.path!r}"
--- a/tests/door/hosted.py
+++ b/tests/door/hosted.py
@@ -6,7 +6,7 @@
 
 from notchflow.interface import Effect, RequestClass
 from notchflow.tenancy.directory import Directory
-from notchflow.tenancy.door import Face, TenantDoor
+from notchflow.tenancy.admission import AdmissionSettings, TenantAdmission
 from notchflow.tenancy.keys import KEY, mint
 from notchflow.tenancy.model import ApiKey, Limits, Route, Tenant, TenantState
 from tests.rig import Rig, Script
@@ -43,12 +43,12 @@
         for name in tenants:
             self.directory.put(Tenant(name), 0.0)
             self.add_key(name)
-        face = Face(body_max=BODY_MAX, effects={c.name: c.effect for c in CLASSES})
+        face = AdmissionSettings(body_max=BODY_MAX, effects={c.name: c.effect for c in CLASSES})
         self.pressure = 0.0
         super().__init__(
             *scripts,
             classes=CLASSES,
-            door=TenantDoor(self.directory, face, lambda: self.pressure, b"0badcafe"),
+            door=TenantAdmission(self.directory, face, lambda: self.pressure, b"0badcafe"),
         )
 
     def add_key(self, tenant: str) -> ApiKey:
--- a/tests/door/test_fuzz.py
+++ b/tests/door/test_fuzz.py
@@ -16,7 +16,7 @@
 
 import h11
 
-from notchflow.tenancy.paths import PathFault, normalise
+from notchflow.tenancy.paths import PathError, normalise_target
 from tests.door.hosted import HostedRig
 from tests.rig import Rig, run
 
@@ -228,8 +228,8 @@
     if not hosted:
         return read
     try:
-        target = normalise(read.target)
-    except PathFault:
+        target = normalise_target(read.target)
+    except PathError:
         return Read(b"none", b"", b"")
     query = b"" if target.query is None else b"?" + target.query
     return Read(read.method, b"/api/alfa" + target.path.encode() + query, read.body)
--- a/tests/door/test_hosted_door.py
+++ b/tests/door/test_hosted_door.py
@@ -260,6 +260,6 @@
             served = await other.receive()
             assert served is not None and served.status == 200, "other clients are served as before"
             assert rig.directory.shares.in_hand == 0
-            assert all(e.usage.bytes == 0 for e in rig.directory.entries.values())
+            assert all(e.usage.bytes_held == 0 for e in rig.directory.entries.values())
 
     run(test())
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -15,7 +15,7 @@
 from notchflow.faults.rig import apply_fault
 from notchflow.faults.schedule import Schedule, decode, draw, load
 from notchflow.faults.shrink import shrink
-from notchflow.hosting.file import FileFaults
+from notchflow.hosting.file import InvalidFileError
 from standins.relay import HEALTHY, LinkBehavior, Mesh
 
 NS_PER_MS = checks.NS_PER_MS
@@ -40,17 +40,17 @@
 kind = "explode"
 at_s = 1.0
 """)
-    with pytest.raises(FileFaults) as error:
+    with pytest.raises(InvalidFileError) as error:
         load(path)
     text = str(error.value)
     assert "faults[0].loss.part: is 1.5" in text and "faults[1]" in text and "explode" in text
-    with pytest.raises(FileFaults) as error:
+    with pytest.raises(InvalidFileError) as error:
         plan(
             {"kind": "kill", "who": ["p9"], "at_s": 1.0},
             {"kind": "cut", "at_s": 9.0, "for_s": 2.0},
             {"kind": "islands", "groups": [["p1"], ["p1", "p2"]], "at_s": 0.0},
         )
-    assert [fault.place for fault in error.value.faults] == ["faults[0]", "faults[1].for_s", "faults[2]"]
+    assert [fault.place for fault in error.value.issues] == ["faults[0]", "faults[1].for_s", "faults[2]"]
 
 
 def test_a_drawn_schedule_is_deterministic_and_survives_a_round_trip_through_toml(tmp_path: Path) -> None:
--- a/tests/hosting/test_cluster.py
+++ b/tests/hosting/test_cluster.py
@@ -12,7 +12,7 @@
 import httpx
 import pytest
 
-from notchflow.hosting.file import FileFaults, decode
+from notchflow.hosting.file import InvalidFileError, decode
 from notchflow.hosting.fleet import Fleet
 from notchflow.tenancy.model import Limits
 from standins.box import Box, Work
@@ -39,8 +39,8 @@
     section = {name: value for name, value in (CLUSTER | changes).items() if value is not None}
     try:
         decode(BASE | {"cluster": section}, folder / "service.toml")
-    except FileFaults as error:
-        return [str(fault) for fault in error.faults]
+    except InvalidFileError as error:
+        return [str(fault) for fault in error.issues]
     return []
 
 
@@ -103,7 +103,7 @@
         fleet = Fleet(tmp_path, 2, registry.address, ["alfa"])
         fleet.prepare()
         fleet.instances["p1"].spawn()
-        await fleet.instances["p1"].ready()
+        await fleet.instances["p1"].wait_until_ready()
         second = fleet.instances["p2"]
         second.file.write_text(
             second.file.read_text().replace(
@@ -133,7 +133,7 @@
         (two.folder / "state" / "cluster").write_text("no folder")
         one.spawn()
         two.spawn()
-        await one.ready()
+        await one.wait_until_ready()
         assert "the history cannot be written: [Errno 28]" in one.log
         assert two.process is not None and two.process.wait(20) == 1
         assert "Not a directory" in two.log and "Traceback" not in two.log
@@ -212,7 +212,7 @@
             await asyncio.sleep(0.05)
         assert (await fleet_usage("p1"))["asked"] == 6
         fleet.instances["p3"].spawn()
-        await fleet.instances["p3"].ready()
+        await fleet.instances["p3"].wait_until_ready()
         while [(await fleet_usage(name))["asked"] for name in fleet.names] != [6, 6, 3]:
             await asyncio.sleep(0.05)  # only p3 has lost the counts of its former incarnation
 
@@ -224,7 +224,7 @@
         fleet = Fleet(tmp_path, 3, registry.address, ["alfa"])
         fleet.prepare()
         await fleet.start()
-        assert await fleet.agreed(20, 3) is not None
+        assert await fleet.wait_until_agreed(20, 3) is not None
         one = fleet.instances["p2"]
         view = await one.view()
         assert view is not None and view["name"] == "p2" and view["takes"]
@@ -276,7 +276,7 @@
         )
         await _check_fleet_usage(fleet)
         one.terminate()
-        assert await one.ended() == 0
+        assert await one.wait_until_ended() == 0
         assert "cluster: " in call("members", code=1)
         await fleet.stop()
         registry.stop()
--- a/tests/hosting/test_file.py
+++ b/tests/hosting/test_file.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from notchflow.hosting.file import FileFaults, decode, load
+from notchflow.hosting.file import InvalidFileError, decode, load
 from notchflow.interface import Effect
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -22,9 +22,9 @@
 
 
 def errors_of(data: dict[str, Any]) -> dict[str, str]:
-    with pytest.raises(FileFaults) as error:
+    with pytest.raises(InvalidFileError) as error:
         decode(data, Path("f.toml"))
-    return {fault.place: fault.what for fault in error.value.faults}
+    return {fault.place: fault.message for fault in error.value.issues}
 
 
 def test_the_sample_is_valid_and_gives_its_settings() -> None:
--- a/tests/operations/test_pacing.py
+++ b/tests/operations/test_pacing.py
@@ -17,8 +17,8 @@
 import sys, time
 pauses = []
 time.sleep = pauses.append
-from notchflow.__main__ import proxy
-ended = proxy()
+from notchflow.__main__ import run_proxy
+ended = run_proxy()
 print(ended, len(pauses) >= 5, len([f for f in sys.meta_path if type(f).__name__ == "PausingFinder"]))
 """
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,7 +17,7 @@
 from notchflow.net.config import Config
 from notchflow.net.discovery import NodeList, decode_node_list
 from notchflow.net.host import Host
-from notchflow.tenancy.door import TenantDoor
+from notchflow.tenancy.admission import TenantAdmission
 from tests.helpers import make_settings
 
 _E = TypeVar("_E")
@@ -197,7 +197,7 @@
         *scripts: Script,
         members: list[dict[str, Any]] | None = None,
         limits: dict[str, Any] | None = None,
-        door: TenantDoor | None = None,
+        door: TenantAdmission | None = None,
         greets: bool = True,
         **changes: Any,
     ) -> None:
--- a/tests/tenancy/test_limits.py
+++ b/tests/tenancy/test_limits.py
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchflow.tenancy.limits import MAX_RETRY_AFTER_S, Bucket, FairShares, Reason, Usage
+from notchflow.tenancy.limits import MAX_RETRY_AFTER_S, TokenBucket, FairShares, Reason, Usage
 from notchflow.tenancy.model import Limits
 
 WIDE = Limits(rate_per_s=1e6, burst=1e6, in_hand=1_000_000)
 
 
 def test_a_bucket_grants_its_burst_and_then_its_rate() -> None:
-    bucket = Bucket(5, 0.0)
+    bucket = TokenBucket(5, 0.0)
     assert [bucket.take(0.0, 10, 5) for _ in range(5)] == [0.0] * 5
     assert bucket.take(0.0, 10, 5) == pytest.approx(0.1)
     assert bucket.take(0.101, 10, 5) == 0.0
@@ -23,7 +23,7 @@
 
 
 def test_retry_times_of_rejected_requests_are_spaced_by_the_rate() -> None:
-    bucket = Bucket(1, 0.0)
+    bucket = TokenBucket(1, 0.0)
     bucket.take(0.0, 10, 1)
     retry_times = [bucket.take(0.0, 10, 1) for _ in range(5)]
     assert retry_times == pytest.approx([0.1, 0.2, 0.3, 0.4, 0.5])
@@ -33,7 +33,7 @@
 
 
 def test_a_clock_that_steps_back_adds_no_tokens() -> None:
-    bucket = Bucket(2, 100.0)
+    bucket = TokenBucket(2, 100.0)
     assert bucket.take(50.0, 1, 2) == bucket.take(50.0, 1, 2) == 0.0
     assert bucket.take(50.0, 1, 2) > 0
     assert bucket.take(49.0, 1, 2) > 0
@@ -42,7 +42,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.floats(0, 2), max_size=60), st.floats(0.5, 50), st.floats(1, 20))
 def test_no_period_admits_more_than_burst_and_rate(gaps: list[float], rate: float, burst: float) -> None:
-    bucket, now, admitted = Bucket(burst, 0.0), 0.0, 0
+    bucket, now, admitted = TokenBucket(burst, 0.0), 0.0, 0
     for gap in gaps:
         now += gap
         admitted += bucket.take(now, rate, burst) == 0.0
--- a/tests/tenancy/test_paths.py
+++ b/tests/tenancy/test_paths.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchflow.tenancy.paths import PATH_MAX, PathFault, Target, normalise
+from notchflow.tenancy.paths import PATH_MAX, PathError, Target, normalise_target
 
 NORMAL = [
     (b"/", "/"),
@@ -74,21 +74,21 @@
 
 @pytest.mark.parametrize("url,path", NORMAL)
 def test_paths_are_normalised(url: bytes, path: str) -> None:
-    assert normalise(url) == Target(path, None)
-    assert normalise(path.encode()).path == path, "normalising again changes nothing"
+    assert normalise_target(url) == Target(path, None)
+    assert normalise_target(path.encode()).path == path, "normalising again changes nothing"
 
 
 @pytest.mark.parametrize("url", REJECTED)
 def test_ambiguous_and_invalid_targets_are_rejected(url: bytes) -> None:
-    with pytest.raises(PathFault):
-        normalise(url)
+    with pytest.raises(PathError):
+        normalise_target(url)
 
 
 def test_the_query_is_kept_and_an_absolute_form_gives_the_authority() -> None:
-    assert normalise(b"/a?x=%2e%2e/../&y=//") == Target("/a", b"x=%2e%2e/../&y=//")
-    assert normalise(b"/a?") == Target("/a", b"")
-    assert normalise(b"HTTP://host:81/a?b") == Target("/a", b"b", b"host:81")
-    assert normalise(b"http://host") == Target("/", None, b"host")
+    assert normalise_target(b"/a?x=%2e%2e/../&y=//") == Target("/a", b"x=%2e%2e/../&y=//")
+    assert normalise_target(b"/a?") == Target("/a", b"")
+    assert normalise_target(b"HTTP://host:81/a?b") == Target("/a", b"b", b"host:81")
+    assert normalise_target(b"http://host") == Target("/", None, b"host")
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
@@ -100,10 +100,10 @@
 )
 def test_an_accepted_path_has_no_dot_segments_or_ambiguous_escapes(parts: list[bytes]) -> None:
     try:
-        target = normalise(b"/" + b"".join(parts))
-    except PathFault:
+        target = normalise_target(b"/" + b"".join(parts))
+    except PathError:
         return
-    again = normalise(target.path.encode())
+    again = normalise_target(target.path.encode())
     assert again.path == target.path
     assert not {".", ".."} & set(target.segments)
     lowered = target.path.lower()
--- a/tests/tenancy/test_routes.py
+++ b/tests/tenancy/test_routes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from notchflow.tenancy.model import Route
-from notchflow.tenancy.routes import Match, Router, faults
+from notchflow.tenancy.routes import Match, Router, validate_routes
 
 MENU = Route("GET", "/menus/{canteen}/{day}", "read", ("canteen", "day"))
 TODAY = Route("GET", "/menus/{canteen}/today", "read")
@@ -37,7 +37,7 @@
 
 def test_all_errors_are_reported_with_their_place() -> None:
     found = dict(
-        faults(
+        validate_routes(
             [
                 Route("FETCH", "/a", "read"),
                 Route("GET", "/b", "unknown"),
@@ -67,5 +67,5 @@
     } == set(found)
     assert "'unknown'" in found["1.class"] and "read" in found["1.class"]
     assert "'/~a'" in found["9.path"]
-    assert faults(ALL, ("read", "slot")) == []
-    assert faults([MENU] * 65, ("read",))[0][0] == ""
+    assert validate_routes(ALL, ("read", "slot")) == []
+    assert validate_routes([MENU] * 65, ("read",))[0][0] == ""
