--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -29,9 +29,9 @@
 import uvloop
 
 from notchflow.store.commit import Committer
-from notchflow.store.engine import Change, Engine, Options
+from notchflow.store.engine import Change, Engine, EngineOptions
 from notchflow.store.files import RealFiles
-from notchflow.store.frames import Kind
+from notchflow.store.frames import RecordKind
 from notchflow.store.index import Entry, Index
 from notchflow.store.tools import store_clock
 
@@ -66,7 +66,7 @@
 
     def submit(self, key: bytes, done: Callable[[], None]) -> None:
         """Appends a record under the key; calls `done` on the loop once it is durable."""
-        self.store.submit([Change(Kind.PUT, key, VALUE)], lambda _: done())
+        self.store.submit([Change(RecordKind.PUT, key, VALUE)], lambda _: done())
 
     def stop(self) -> None:
         """Commits what was submitted and closes the store."""
@@ -198,12 +198,12 @@
     """Measures the seconds that a store with so many live keys takes to open, with hint files and without."""
     folder = Path(tempfile.mkdtemp(dir=os.environ.get("NOTCHFLOW_BENCH_DIR", ".")))
     try:
-        engine = Engine(RealFiles(folder / "s"), store_clock(), Options(64 << 20))
+        engine = Engine(RealFiles(folder / "s"), store_clock(), EngineOptions(64 << 20))
         engine.open()
         for start in range(0, keys, 5_000):
             engine.append(
                 [
-                    Change(Kind.PUT, b"tenant-%d/order-%d" % (n % 7, n), VALUE, 1 << 42)
+                    Change(RecordKind.PUT, b"tenant-%d/order-%d" % (n % 7, n), VALUE, 1 << 42)
                     for n in range(start, min(start + 5_000, keys))
                 ]
             )
@@ -212,11 +212,11 @@
         for name in ("hinted", "scanned"):
             gc.collect()
             started_at = time.monotonic()
-            engine = Engine(RealFiles(folder / "s"), store_clock(), Options(64 << 20))
+            engine = Engine(RealFiles(folder / "s"), store_clock(), EngineOptions(64 << 20))
             recovered = engine.open()
             results[name] = time.monotonic() - started_at
-            assert recovered.records == keys and (recovered.scanned == 0) is (name == "hinted")
-            results["index_bytes_a_key"] = engine.index.memory() / keys
+            assert recovered.records == keys and (recovered.scanned_bytes == 0) is (name == "hinted")
+            results["index_bytes_a_key"] = engine.index.memory_bytes() / keys
             engine.close()
             for hint in (folder / "s").glob("*.hint"):
                 hint.unlink()
@@ -233,20 +233,20 @@
     """
     folder = Path(tempfile.mkdtemp(dir=os.environ.get("NOTCHFLOW_BENCH_DIR", ".")))
     try:
-        engine = Engine(RealFiles(folder / "s"), store_clock(), Options(1 << 20))
+        engine = Engine(RealFiles(folder / "s"), store_clock(), EngineOptions(1 << 20))
         engine.open()
         until, count = time.monotonic() + seconds, 0
         while time.monotonic() < until:
             engine.append(
-                [Change(Kind.PUT, b"key-%d" % (n * 7919 % 20_000), VALUE) for n in range(count, count + 200)]
+                [Change(RecordKind.PUT, b"key-%d" % (n * 7919 % 20_000), VALUE) for n in range(count, count + 200)]
             )
             count += 200
-            engine.step()
+            engine.run_maintenance()
         engine.compact()
         disk = sum(p.stat().st_size for p in (folder / "s").iterdir())
-        live = sum(engine.index.live.values())
+        live = sum(engine.index.live_bytes.values())
         results = {
-            "copied_a_byte": engine.copied / engine.written,
+            "copied_a_byte": engine.copied_bytes / engine.written_bytes,
             "disk_a_live_byte": disk / live,
             "compactions": float(engine.compactions),
         }
@@ -289,7 +289,7 @@
     return {
         "index_put": put_s / keys * 1e6,
         "index_get": get_s / keys * 1e6,
-        "index_bytes": index.memory() / keys,
+        "index_bytes": index.memory_bytes() / keys,
         "dict_put": plain_put_s / keys * 1e6,
         "dict_get": plain_get_s / keys * 1e6,
         "dict_bytes": size / keys,
--- a/notchflow/cluster/agreement/storage.py
+++ b/notchflow/cluster/agreement/storage.py
@@ -18,7 +18,7 @@
 from notchflow.cluster.agreement.wire import Entry
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Change, Engine, StoreError
-from notchflow.store.frames import Kind
+from notchflow.store.frames import RecordKind
 
 log = logging.getLogger(__name__)
 HARD_STATE_KEY: Final = b"hard"
@@ -101,18 +101,18 @@
         changes: list[Change] = []
         if batch.hard_state is not None:
             hard_state = (batch.hard_state.term, batch.hard_state.voted_for, batch.hard_state.joined)
-            changes.append(Change(Kind.PUT, HARD_STATE_KEY, msgspec.msgpack.encode(hard_state)))
+            changes.append(Change(RecordKind.PUT, HARD_STATE_KEY, msgspec.msgpack.encode(hard_state)))
         if batch.snapshot is not None:
             base = LogBase(batch.snapshot.index, batch.snapshot.term, batch.snapshot.roster)
             changes += self._base_changes(base)
         last_index = batch.first_index + len(batch.entries) - 1
         for offset, entry in enumerate(batch.entries):
             changes.append(
-                Change(Kind.PUT, entry_key(batch.first_index + offset), msgspec.msgpack.encode(entry))
+                Change(RecordKind.PUT, entry_key(batch.first_index + offset), msgspec.msgpack.encode(entry))
             )
         if batch.entries or batch.snapshot is not None or batch.first_index <= self.stored_last:
             changes += [
-                Change(Kind.DELETE, entry_key(index)) for index in range(last_index + 1, self.stored_last + 1)
+                Change(RecordKind.DELETE, entry_key(index)) for index in range(last_index + 1, self.stored_last + 1)
             ]
             self.stored_last = last_index
         self.committer.submit(changes, done)
@@ -124,10 +124,10 @@
     def _base_changes(self, base: LogBase, discard_all: bool = False) -> list[Change]:
         value = msgspec.msgpack.encode((base.index, base.term, base.roster))
         end = self.stored_last if discard_all else min(base.index, self.stored_last)
-        deletions = [Change(Kind.DELETE, entry_key(index)) for index in range(self.stored_base + 1, end + 1)]
+        deletions = [Change(RecordKind.DELETE, entry_key(index)) for index in range(self.stored_base + 1, end + 1)]
         self.base, self.stored_base = base, base.index
         self.stored_last = base.index if discard_all else max(self.stored_last, base.index)
-        return [Change(Kind.PUT, BASE_KEY, value), *deletions]
+        return [Change(RecordKind.PUT, BASE_KEY, value), *deletions]
 
 
 def _log_failure(problem: StoreError | None) -> None:
--- a/notchflow/effects/command.py
+++ b/notchflow/effects/command.py
@@ -9,7 +9,7 @@
 from notchflow.effects.record import decode
 from notchflow.store import tools
 from notchflow.store.engine import StoreError
-from notchflow.store.files import Locked, RealFiles
+from notchflow.store.files import StoreLockedError, RealFiles
 from notchflow.store.frames import Record
 from notchflow.store.manifest import ManifestError
 
@@ -27,7 +27,7 @@
         return {"check": _check, "dump": _dump, "compact": _compact, "repair": _repair}[options.action](
             files, options
         )
-    except (Locked, ManifestError, StoreError, OSError) as error:
+    except (StoreLockedError, ManifestError, StoreError, OSError) as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return UNUSABLE
 
--- a/notchflow/effects/keeper.py
+++ b/notchflow/effects/service.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Final, Protocol
 
-from notchflow.effects.memory import (
+from notchflow.effects.tracker import (
     ActiveKey,
     Decision,
     IdempotencyTracker,
@@ -23,7 +23,7 @@
     Reject,
     RejectReason,
     Replay,
-    Rule,
+    IdempotencyRule,
     Start,
 )
 from notchflow.effects.record import Effect, decode, fingerprint
@@ -31,7 +31,7 @@
 from notchflow.net.timers import TimerId
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Change, StoreError
-from notchflow.store.frames import Kind, Record
+from notchflow.store.frames import RecordKind, Record
 from notchflow.tenancy.problems import reply
 
 log = logging.getLogger(__name__)
@@ -68,12 +68,12 @@
 class Guard:
     """One request with an idempotency key, from admission to its end."""
 
-    __slots__ = ("keeper", "key", "rule", "call", "send", "timer", "finished", "busy", "active_key")
+    __slots__ = ("service", "key", "rule", "call", "send", "timer", "finished", "busy", "active_key")
 
     def __init__(
-        self, keeper: Keeper, key: bytes, rule: Rule, call: ClientRequest, busy: LocalReply, send: Send
+        self, service: IdempotencyService, key: bytes, rule: IdempotencyRule, call: ClientRequest, busy: LocalReply, send: Send
     ) -> None:
-        self.keeper, self.key, self.rule = keeper, key, rule
+        self.service, self.key, self.rule = service, key, rule
         self.call: ClientRequest | None = call
         self.busy, self.send = busy, send
         self.timer: TimerId | None = None
@@ -84,14 +84,14 @@
         """The request has ended for its client. `ran`: an attempt may have run, or may still run."""
         self.finished = True
         self.call = None
-        self.keeper.ended(self, status, ran)
+        self.service.ended(self, status, ran)
 
     def begin(self, call: ClientRequest, cls: str) -> LocalReply | None:
         """Starts the request, now or later, or returns the reply that rejects it."""
-        return self.keeper.begin(self, call, cls)
+        return self.service.begin(self, call, cls)
 
 
-class Keeper:
+class IdempotencyService:
     """The idempotency state machine, its store and the requests that wait for it."""
 
     def __init__(
@@ -104,7 +104,7 @@
     ) -> None:
         self.committer, self.host, self.cancel, self.clock = committer, host, cancel, clock
         self.tracker = IdempotencyTracker(boot_id() if boot is None else boot)
-        self.rules: dict[str, Rule] = {}  # by class; requests of other classes are not recorded
+        self.rules: dict[str, IdempotencyRule] = {}  # by class; requests of other classes are not recorded
         self.refused = 0  # requests shed because the store could not read or write in time
 
     def guard(self, call: ClientRequest, cls: str, key: bytes, busy: LocalReply, send: Send) -> Guard | None:
@@ -116,7 +116,7 @@
     def begin(self, guard: Guard, call: ClientRequest, cls: str) -> LocalReply | None:
         """The immediate reply to the client; None if the reply comes later or the request is sent."""
         known, request_fingerprint = (
-            self.committer.known(guard.key),
+            self.committer.contains(guard.key),
             fingerprint(call.method, call.url, call.body),
         )
         deadline = call.arrived_at + self.host.classes[cls]
@@ -169,7 +169,7 @@
         )
 
     def _put_change(self, guard: Guard, effect: Effect) -> Change:
-        return Change(Kind.PUT, guard.key, effect.encode(), self.committer.now() + guard.rule.keep_ms)
+        return Change(RecordKind.PUT, guard.key, effect.encode(), self.committer.now() + guard.rule.keep_ms)
 
     # -- store results, on the event loop
     def _on_record_read(self, guard: Guard, found: Record | StoreError | None) -> None:
@@ -235,7 +235,7 @@
     def _write_outcome(self, guard: Guard, outcome: Outcome, status: int) -> None:
         active_key = self.tracker.active[guard.key]
         effect = self.tracker.request_ended(guard.key, outcome, status)
-        change = Change(Kind.DELETE, guard.key) if effect is None else self._put_change(guard, effect)
+        change = Change(RecordKind.DELETE, guard.key) if effect is None else self._put_change(guard, effect)
         try:
             self.committer.submit([change], partial(self._on_outcome_written, guard.key, active_key))
         except StoreError as error:
@@ -246,7 +246,7 @@
             log.warning("the outcome of a request could not be written: %s", problem)
         self.tracker.outcome_written(key, active_key)
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """Metrics for the console and the administration API."""
         counts, store = self.tracker.counts, self.committer.metrics
         return {
--- a/notchflow/effects/memory.py
+++ b/notchflow/effects/tracker.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class IdempotencyRule:
     """How a class is remembered: `keep_ms` is the lifetime of its records, `window_ms` how long nodes
     deduplicate a key (keyed classes only)."""
 
@@ -109,7 +109,7 @@
     """The state of a key whose request is in progress."""
 
     phase: Phase
-    rule: Rule
+    rule: IdempotencyRule
     fingerprint: bytes
     effect: Effect | None = None  # the record last written, or being written
     restarted: bool = False  # an earlier request under the key may have run
@@ -136,7 +136,7 @@
 
     # -- request arrival
     def request_arrived(
-        self, key: bytes, fingerprint: bytes, rule: Rule, now_ms: int, known: bool
+        self, key: bytes, fingerprint: bytes, rule: IdempotencyRule, now_ms: int, known: bool
     ) -> Decision:
         """Decides on a new request. `now_ms` is on this boot's clock; `known` says whether the store has a
         record of the key."""
@@ -164,7 +164,7 @@
             return self._reject(RejectReason.MISMATCH)
         return self._decide_by_record(key, effect, active_key.rule, now_ms)
 
-    def _decide_by_record(self, key: bytes, effect: Effect, rule: Rule, now_ms: int) -> Decision:
+    def _decide_by_record(self, key: bytes, effect: Effect, rule: IdempotencyRule, now_ms: int) -> Decision:
         if self._window_open(effect, rule, now_ms):
             return self._start(key, effect.fingerprint, rule, now_ms, effect)
         if effect.fate is Fate.SERVED:
@@ -172,7 +172,7 @@
             return Replay(effect.status)
         return self._reject(RejectReason.UNKNOWN)
 
-    def _window_open(self, effect: Effect, rule: Rule, now_ms: int) -> bool:
+    def _window_open(self, effect: Effect, rule: IdempotencyRule, now_ms: int) -> bool:
         """Whether nodes still deduplicate the key. Valid only within the same boot: its clock is affected
         neither by wall clock steps nor by a restart of the proxy."""
         return (
@@ -182,7 +182,7 @@
         )
 
     def _start(
-        self, key: bytes, fingerprint: bytes, rule: Rule, now_ms: int, earlier: Effect | None
+        self, key: bytes, fingerprint: bytes, rule: IdempotencyRule, now_ms: int, earlier: Effect | None
     ) -> Start:
         first = earlier.first_ms if earlier is not None else now_ms
         effect = Effect(Fate.INTENDED, fingerprint, self.boot, first)
--- a/notchflow/hosting/derived.py
+++ b/notchflow/hosting/derived.py
@@ -4,7 +4,7 @@
 
 from notchflow.admin.operations import Defaults
 from notchflow.admin.server import Bounds
-from notchflow.effects.memory import Rule
+from notchflow.effects.tracker import IdempotencyRule
 from notchflow.hosting.file import OperatorFile
 from notchflow.hosting.schema import EFFECTS, AdminModel
 from notchflow.interface import Effect
@@ -28,14 +28,14 @@
     )
 
 
-def effect_rules(file: OperatorFile) -> dict[str, Rule]:
+def effect_rules(file: OperatorFile) -> dict[str, IdempotencyRule]:
     """For each class with effects, how long its idempotency keys are remembered."""
-    rules: dict[str, Rule] = {}
+    rules: dict[str, IdempotencyRule] = {}
     for c in file.classes:
         kind = EFFECTS[c.effect]
         if file.effects is not None and kind is not Effect.SAFE:
             keep_s = file.effects.unsafe_s if kind is Effect.UNSAFE else file.effects.keyed_s
-            rules[c.name] = Rule(kind, int(keep_s * 1e3), c.window_ms if kind is Effect.KEYED else 0.0)
+            rules[c.name] = IdempotencyRule(kind, int(keep_s * 1e3), c.window_ms if kind is Effect.KEYED else 0.0)
     return rules
 
 
--- a/notchflow/hosting/membership.py
+++ b/notchflow/hosting/membership.py
@@ -94,7 +94,7 @@
         all request classes; `classes`: this instance's request counters by class.
 
         IdentityError, OSError: the folder cannot be used. With shared rules also StoreError, ManifestError
-        and Locked, of their log.
+        and StoreLockedError, of their log.
         """
         self.model, self.loop, self.on_fleet_size = model, loop, on_fleet_size
         self.folder = state / CLUSTER_FOLDER
--- a/notchflow/hosting/proxy.py
+++ b/notchflow/hosting/proxy.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any, Final
 
-from notchflow.effects.keeper import Keeper
+from notchflow.effects.service import IdempotencyService
 from notchflow.hosting.membership import Membership
 from notchflow.interface import ListKind, SettingsChanged, State
 from notchflow.net.config import Config
@@ -25,7 +25,7 @@
         # By node: name, address, state and when it changed (ms).
         self.shown_nodes: dict[int, tuple[str, str, State, float]] = {}
         self.tenants = admission.directory
-        self.keeper: Keeper | None = None
+        self.keeper: IdempotencyService | None = None
         self.membership: Membership | None = None
         super().__init__(config, loop, admission)
 
@@ -68,7 +68,7 @@
             "open_requests": self.metrics.open,
             "bytes_held": self.buffered_bytes,
             "clients": sum(len(frontend.clients) for frontend in self.frontends),
-            "effects": self.keeper.figures() if self.keeper is not None else None,
+            "effects": self.keeper.metrics() if self.keeper is not None else None,
         }
 
     def set_instance_count(self, balancers: int) -> None:
@@ -94,11 +94,11 @@
         ]
 
 
-def effect_metrics_lines(keeper: Keeper | None) -> list[str]:
+def effect_metrics_lines(keeper: IdempotencyService | None) -> list[str]:
     """The metrics of the effect memory, in the text format."""
     if keeper is None:
         return []
-    counts = keeper.figures()
+    counts = keeper.metrics()
     denied = counts.pop("denied")
     flat = counts | {f"denied_{reason.replace('-', '_')}": count for reason, count in denied.items()}
     return [f"effects_{name} {value}" for name, value in flat.items()]
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -29,9 +29,9 @@
 from notchflow.cluster.transport import ClusterTransport
 from notchflow.net.exchange import LocalReply
 from notchflow.state.database import Database
-from notchflow.state.replicated import Applied, Command, Replicated, encode
+from notchflow.state.replicated import ApplyResult, Command, ReplicatedState, encode
 from notchflow.store.commit import Committer
-from notchflow.store.engine import Engine, Options
+from notchflow.store.engine import Engine, EngineOptions
 from notchflow.store.files import RealFiles
 from notchflow.store.tools import store_clock
 from notchflow.tenancy.model import TenantState
@@ -68,12 +68,12 @@
         note: Callable[..., None],
     ) -> None:
         """`trusted`: whether the folder is this instance's own and as it left it; if not, the instance does
-        not vote until it has caught up. Raises StoreError, ManifestError, Locked or OSError."""
+        not vote until it has caught up. Raises StoreError, ManifestError, StoreLockedError or OSError."""
         self.loop, self.transport, self.db, self.note = transport.loop, transport, db, note
-        self.state = Replicated(db)
+        self.state = ReplicatedState(db)
         self.thread = ThreadPoolExecutor(1, "state")
-        self.on_applied: Callable[[Applied, list[Change]], None] = lambda applied, changes: None
-        engine = Engine(RealFiles(folder / FOLDER), store_clock(), Options(SEGMENT_BYTES))
+        self.on_applied: Callable[[ApplyResult, list[Change]], None] = lambda applied, changes: None
+        engine = Engine(RealFiles(folder / FOLDER), store_clock(), EngineOptions(SEGMENT_BYTES))
         self.committer = Committer(engine, self.loop.call_soon_threadsafe)
         self.committer.start()
         stored = load_state(engine, tuple(sorted(roster)), self.state.applied, self.state.term)
@@ -90,7 +90,7 @@
             transport.now(),
             hard_state,
             stored.log,
-            self.state.weight() if not self.state.sealed else 0,
+            self.state.weight() if not self.state.initialized else 0,
         )
         self.last_applied = self.state.applied  # as the loop knows it; the state's thread may be ahead
         self.settings = SessionSettings()
@@ -129,14 +129,14 @@
     # -- requests of clients
     def rejection(self) -> LocalReply | None:
         """The reply to a request while this instance may not act on its rules; None if it may."""
-        if self.driver.holds_lease(self.transport.now()) and self.state.sealed:
+        if self.driver.holds_lease(self.transport.now()) and self.state.initialized:
             return None
         self.counters["refused"] += 1
         return self.no_lease_reply
 
     def may_act(self) -> bool:
         """Whether the fleet has a common state and this instance's lease is valid."""
-        return self.state.sealed and self.driver.holds_lease(self.transport.now())
+        return self.state.initialized and self.driver.holds_lease(self.transport.now())
 
     # -- the state machine behind the log (called on the loop)
     def applied_index(self) -> int:
@@ -167,37 +167,37 @@
             partial(self._apply, entries), partial(self._finish_apply, last_index, done)
         )
 
-    def _apply(self, entries: Sequence[tuple[int, int, bytes | None]]) -> tuple[Applied, list[Change]]:
+    def _apply(self, entries: Sequence[tuple[int, int, bytes | None]]) -> tuple[ApplyResult, list[Change]]:
         applied = self.state.apply(entries)
-        return applied, self._full_state() if applied.whole else list(applied.changes)
+        return applied, self._full_state() if applied.state_replaced else list(applied.changes)
 
     def _full_state(self) -> list[Change]:
         tenants = [t for t in self.db.tenants() if t.state is not TenantState.GONE]
         return [*tenants, *self.db.live_keys()]
 
     def _finish_apply(
-        self, last_index: int, done: Callable[[bool], None], result: tuple[Applied, list[Change]] | None
+        self, last_index: int, done: Callable[[bool], None], result: tuple[ApplyResult, list[Change]] | None
     ) -> None:
         if result is not None:
             self._publish(last_index, *result)
         done(result is not None)
         if result is not None:
             self._answer_reads()
-            for command, base, held in result[0].fates:
+            for command, base, held in result[0].command_results:
                 self._on_command_applied(command, base, held)
 
-    def _publish(self, last_index: int, applied: Applied, changes: list[Change]) -> None:
+    def _publish(self, last_index: int, applied: ApplyResult, changes: list[Change]) -> None:
         """Passes applied changes on to the running proxy."""
         self.on_applied(applied, changes)
         self.last_applied = last_index
         self.note("rules", applied=last_index, version=self.state.version, digest=self.state.digest)
-        if applied.whole:
+        if applied.state_replaced:
             log.info(
                 "rules: the fleet's state has been loaded, version %d, %d tenants and keys",
                 self.state.version,
                 len(changes),
             )
-        if applied.displaced:
+        if applied.other_state_replaced:
             log.warning(
                 "rules: the local state differed from the fleet's and has been replaced; "
                 "a copy is in service.db.before"
@@ -206,10 +206,10 @@
     def load_snapshot(self, snapshot: Snapshot, done: Callable[[bool], None]) -> None:
         """Replaces the state by a snapshot from the leader."""
 
-        def run() -> tuple[Applied, list[Change]]:
+        def run() -> tuple[ApplyResult, list[Change]]:
             return self.state.load(snapshot.data), self._full_state()
 
-        def finish(result: tuple[Applied, list[Change]] | None) -> None:
+        def finish(result: tuple[ApplyResult, list[Change]] | None) -> None:
             if result is not None:
                 self._publish(snapshot.index, *result)
             done(result is not None)
@@ -243,7 +243,7 @@
     # -- the fleet's first state
     def _start_bootstrap(self) -> None:
         """On the first leader: proposes its own state, in stages, as the state of the fleet."""
-        if not self.driver.is_leader or self.state.sealed or self.bootstrapping or self.closed:
+        if not self.driver.is_leader or self.state.initialized or self.bootstrapping or self.closed:
             return
         self.bootstrapping = True
         asyncio.ensure_future(self._bootstrap(), loop=self.loop)
@@ -252,7 +252,7 @@
         """Proposes one stage after the other. A stage may be lost with the leadership, so that each wait
         ends; the whole is retried as long as this instance leads and no state is complete."""
         try:
-            stages = await self.loop.run_in_executor(self.thread, self.state.stages)
+            stages = await self.loop.run_in_executor(self.thread, self.state.export_stages)
             for stage in stages:
                 base = self.state.version
                 command = Command(secrets.token_hex(8), base, (), stage)
@@ -263,7 +263,7 @@
             log.warning("rules: proposing the fleet's first state failed; trying again")
         finally:
             self.bootstrapping = False
-            if not self.closed and not self.state.sealed:
+            if not self.closed and not self.state.initialized:
                 self.loop.call_later(1.0, self._start_bootstrap)
 
     # -- confirmed reads and proposals (on the loop)
@@ -286,7 +286,7 @@
                 future.set_result(self.last_applied)
 
     def _start_read(self, future: concurrent.futures.Future[int]) -> None:
-        if not self.state.sealed:
+        if not self.state.initialized:
             future.set_exception(
                 no_majority(
                     "The fleet has not agreed on its first state yet: all of the "
@@ -318,7 +318,7 @@
     def _resolve_commands_after_snapshot(self) -> None:
         """A snapshot replaces the entries that would have told the outcome of pending commands."""
         for command, pending in list(self.pending_commands.items()):
-            if self.state.known(command):
+            if self.state.has_command(command):
                 self._resolve_command(command, True)
             elif pending.base != self.state.version:
                 self._resolve_command(command, False)
@@ -361,7 +361,7 @@
 
     def _run_trial(self, call: Callable[..., Done[T]], args: Sequence[Any]) -> tuple[Done[T], int, Any]:
         """Computes a change without keeping it. Returns its result, the version it builds on, its writes."""
-        with self.db.trial() as writes:
+        with self.db.dry_run() as writes:
             done = call(*args)
         return done, self.state.version, tuple(writes)
 
@@ -398,7 +398,7 @@
             "leader": raft.leader or None,
             "role": "silent" if raft.halted else raft.role.value,
             "joined": raft.joined,
-            "sealed": self.state.sealed,
+            "sealed": self.state.initialized,
             "acts": self.may_act(),
             "lease_ms": round(max(left, 0.0), 1),
             "peers": {name: peer.match_index for name, peer in raft.peers.items()}
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -20,7 +20,7 @@
 from notchflow.admin.operations import ApiProblem, Change, Operations
 from notchflow.admin.server import AdminServer
 from notchflow.cluster.identity import IdentityError
-from notchflow.effects.keeper import Keeper
+from notchflow.effects.service import IdempotencyService
 from notchflow.hosting.bridge import LoopBridge, apply
 from notchflow.hosting.derived import admin_bounds, admission_settings, api_defaults, effect_rules
 from notchflow.hosting.file import InvalidFileError, OperatorFile, load
@@ -31,10 +31,10 @@
 from notchflow.net.collector import freeze_startup_objects
 from notchflow.net.node_list import parse_address
 from notchflow.state.database import Database, StateError
-from notchflow.state.replicated import Applied
+from notchflow.state.replicated import ApplyResult
 from notchflow.store.commit import Committer
-from notchflow.store.engine import Engine, Options, StoreError
-from notchflow.store.files import Locked, RealFiles
+from notchflow.store.engine import Engine, EngineOptions, StoreError
+from notchflow.store.files import StoreLockedError, RealFiles
 from notchflow.store.manifest import ManifestError
 from notchflow.store.tools import store_clock
 from notchflow.tenancy.directory import Directory
@@ -118,9 +118,9 @@
     def _fleet_rules(self) -> FleetRules | None:
         return self.membership.rules if self.membership is not None else None
 
-    def _apply_agreed(self, applied: Applied, changes: list[Change]) -> None:
+    def _apply_agreed(self, applied: ApplyResult, changes: list[Change]) -> None:
         """Applies changes that the fleet committed to the directory."""
-        if applied.whole:
+        if applied.state_replaced:
             self.directory.replace(
                 [c for c in changes if isinstance(c, Tenant)],
                 [c for c in changes if not isinstance(c, Tenant)],
@@ -149,11 +149,11 @@
         self.admission.unavailable_reply = self.membership.unavailable_reply()
 
     def _open_effect_store(self) -> None:
-        """Opens and recovers the effect store. StoreError, ManifestError, Locked, OSError."""
+        """Opens and recovers the effect store. StoreError, ManifestError, StoreLockedError, OSError."""
         file = self.file
         if file.effects is None or file.effects_folder is None:
             return
-        options = Options(int(file.effects.segment_mb * (1 << 20)))
+        options = EngineOptions(int(file.effects.segment_mb * (1 << 20)))
         engine = Engine(RealFiles(file.effects_folder), store_clock(), options)
         committer = Committer(engine, self.loop.call_soon_threadsafe, int(file.effects.queue_mb * (1 << 20)))
         recovered = committer.start()
@@ -161,11 +161,11 @@
         log.info(
             "effects: recovered %d keys; read %d bytes, loaded %d segments from hints, cut off %d torn bytes",
             recovered.records,
-            recovered.scanned,
-            recovered.hinted,
-            recovered.torn,
+            recovered.scanned_bytes,
+            recovered.hinted_segments,
+            recovered.torn_bytes,
         )
-        keeper = Keeper(committer, self.host, self.host.timers.cancel)
+        keeper = IdempotencyService(committer, self.host, self.host.timers.cancel)
         keeper.rules = effect_rules(file)
         self.admission.memory = self.host.keeper = keeper
 
@@ -177,7 +177,7 @@
         if self.membership is not None:
             self.membership.bind()
         fleet_rules = self._fleet_rules()
-        token = self.operations.first_token() if fleet_rules is None or not fleet_rules.state.sealed else None
+        token = self.operations.first_token() if fleet_rules is None or not fleet_rules.state.initialized else None
         if token is not None:
             _write_secret(self.file.state / TOKEN_FILE, token)
             log.info("wrote an operator token to %s", self.file.state / TOKEN_FILE)
@@ -218,7 +218,7 @@
         self.flush_timer = self.loop.call_later(KEY_USE_FLUSH_S, self._flush_key_uses)
         used = self.directory.take_key_uses()
         if used:
-            self.admin.spawn(lambda: self.backend.read(self.db.note_used, used))
+            self.admin.spawn(lambda: self.backend.read(self.db.record_key_use, used))
 
     def reload(self) -> list[str]:
         """Reloads the operator file; returns, and logs, the changed settings that need a restart."""
@@ -325,7 +325,7 @@
         self.backend.thread.shutdown()
         used = self.directory.take_key_uses()
         if used:
-            self.db.note_used(used)
+            self.db.record_key_use(used)
         if self.committer is not None:
             self.committer.stop()
         if self.membership is not None:
@@ -365,7 +365,7 @@
     asyncio.set_event_loop(loop)
     try:
         service = Service(file, loop)
-    except (StateError, StoreError, ManifestError, Locked, IdentityError, OSError) as error:
+    except (StateError, StoreError, ManifestError, StoreLockedError, IdentityError, OSError) as error:
         print(f"notchflow: {error}", file=sys.stderr)
         return 1
     try:
--- a/notchflow/state/database.py
+++ b/notchflow/state/database.py
@@ -115,7 +115,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.recorded: list[Write] | None = None  # the writes of the running trial
+        self.recorded_writes: list[Write] | None = None  # the writes of the running dry_run
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
             self.lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -156,28 +156,28 @@
         os.close(self.lock)
 
     @contextmanager
-    def trial(self) -> Iterator[list[Write]]:
+    def dry_run(self) -> Iterator[list[Write]]:
         """A dry run: changes made inside are visible inside and rolled back at the end. Yields the list of
         their writes."""
         writes: list[Write] = []
-        self.recorded = writes
+        self.recorded_writes = writes
         self.db.execute("BEGIN IMMEDIATE")
         try:
             yield writes
         finally:
-            self.recorded = None
+            self.recorded_writes = None
             self.db.execute("ROLLBACK")
 
     def write(self, kind: str, values: tuple[Any, ...]) -> None:
         """Executes a statement of WRITES."""
-        if self.recorded is not None:
-            self.recorded.append((kind, values))
+        if self.recorded_writes is not None:
+            self.recorded_writes.append((kind, values))
         self.db.execute(WRITES[kind], values)
 
     @contextmanager
     def change(self) -> Iterator[None]:
-        """One transaction: durable at its end, or rolled back. Inside a trial it is part of the trial."""
-        if self.recorded is not None:
+        """One transaction: durable at its end, or rolled back. Inside a dry_run it is part of the dry_run."""
+        if self.recorded_writes is not None:
             yield
             return
         self.db.execute("BEGIN IMMEDIATE")
@@ -247,7 +247,7 @@
             "key", (key.id, key.tenant, key.digest, key.label, key.created_at, key.expires_at, key.revoked_at)
         )
 
-    def note_used(self, used: Mapping[str, float]) -> None:
+    def record_key_use(self, used: Mapping[str, float]) -> None:
         """Stores when keys were last used, in batches, as one write per request would be too many.
 
         A single statement updates all keys: each statement releases and reacquires the interpreter's lock,
--- a/notchflow/state/replicated.py
+++ b/notchflow/state/replicated.py
@@ -55,7 +55,7 @@
     applied: int
     term: int
     version: int
-    sealed: bool
+    initialized: bool
     digest: str
     commands: tuple[tuple[str, int], ...]
     rows: bytes
@@ -65,13 +65,13 @@
 
 
 @dataclass(slots=True)
-class Applied:
+class ApplyResult:
     """The effects of applying log entries."""
 
-    fates: list[tuple[str, int, bool]] = field(default_factory=list)  # command, its base, if it took effect
+    command_results: list[tuple[str, int, bool]] = field(default_factory=list)  # command, its base, if it took effect
     changes: list[Tenant | ApiKey] = field(default_factory=list)
-    whole: bool = False  # the full state was replaced
-    displaced: bool = False  # the replaced state was a different one
+    state_replaced: bool = False  # the full state was replaced
+    other_state_replaced: bool = False  # the replaced state was a different one
 
 
 def encode(command: Command) -> bytes:
@@ -89,14 +89,14 @@
     return rows
 
 
-class Replicated:
+class ReplicatedState:
     """The database as the log's state machine. Its table `meta` records the last applied entry."""
 
     def __init__(self, db: Database) -> None:
         self.db = db
         self.applied, self.term = self._meta_int("applied"), self._meta_int("term")
         self.version = self._meta_int("version")  # log index of the last command that took effect
-        self.sealed = bool(self._meta_int("sealed"))  # whether a replicated state exists
+        self.initialized = bool(self._meta_int("sealed"))  # whether a replicated state exists
         self.digest = bytes(self._meta("digest") or b"").decode()
         self.staging = False
 
@@ -112,7 +112,7 @@
             "applied": self.applied,
             "term": self.term,
             "version": self.version,
-            "sealed": int(self.sealed),
+            "sealed": int(self.initialized),
             "digest": self.digest.encode(),
         }
         self.db.db.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?)", list(values.items()))
@@ -126,16 +126,16 @@
         )
 
     # -- entries
-    def apply(self, entries: Sequence[tuple[int, int, bytes | None]]) -> Applied:
+    def apply(self, entries: Sequence[tuple[int, int, bytes | None]]) -> ApplyResult:
         """Applies entries: index, term, and the encoded command or None. Durable when it returns."""
-        result = Applied()
-        previous = self.applied, self.term, self.version, self.sealed, self.digest
+        result = ApplyResult()
+        previous = self.applied, self.term, self.version, self.initialized, self.digest
         commands = [
             (index, term, decode(data) if data is not None else None) for index, term, data in entries
         ]
         last = any(c is not None and c.stage is not None and c.stage.last for _, _, c in commands)
         before = self._content_digest() if last else ""
-        if last and not self.sealed and self.weight():
+        if last and not self.initialized and self.weight():
             self._back_up()
         try:
             with self.db.change():
@@ -147,15 +147,15 @@
                         self._apply_command(index, command, result)
                 self._save_meta()
         except BaseException:
-            self.applied, self.term, self.version, self.sealed, self.digest = previous
+            self.applied, self.term, self.version, self.initialized, self.digest = previous
             raise
-        result.displaced = result.whole and before != self._content_digest()
+        result.other_state_replaced = result.state_replaced and before != self._content_digest()
         return result
 
-    def _apply_command(self, index: int, command: Command, result: Applied) -> None:
+    def _apply_command(self, index: int, command: Command, result: ApplyResult) -> None:
         known = self.db.db.execute("SELECT 1 FROM commands WHERE id = ?", (command.id,)).fetchone()
         took_effect = command.base == self.version and known is None
-        result.fates.append((command.id, command.base, took_effect))
+        result.command_results.append((command.id, command.base, took_effect))
         if not took_effect:
             return
         self.version = index
@@ -184,7 +184,7 @@
         return changes
 
     # -- full state
-    def stages(self) -> list[Stage]:
+    def export_stages(self) -> list[Stage]:
         """The state of this instance, in parts that fit into one command each."""
         rows: list[list[Row]] = [[]]
         size = 0
@@ -200,7 +200,7 @@
             for number, part in enumerate(rows)
         ]
 
-    def _apply_stage(self, index: int, stage: Stage, result: Applied) -> None:
+    def _apply_stage(self, index: int, stage: Stage, result: ApplyResult) -> None:
         if stage.first:
             self.db.db.execute("DELETE FROM staged")
         self.db.db.execute("INSERT INTO staged VALUES (?, ?)", (index, stage.rows))
@@ -209,7 +209,7 @@
         parts = [bytes(row[0]) for row in self.db.db.execute("SELECT rows FROM staged ORDER BY number")]
         self._replace_rows(row for part in parts for row in _decode_rows(part))
         self.db.db.execute("DELETE FROM staged")
-        self.sealed = result.whole = True
+        self.initialized = result.state_replaced = True
 
     def _rows(self) -> Iterable[Row]:
         for table, query in TABLES.items():
@@ -251,15 +251,15 @@
         commands = tuple((str(i), int(at)) for i, at in self.db.db.execute("SELECT id, at FROM commands"))
         rows = zlib.compress(msgspec.msgpack.encode(list(self._rows())), 1)
         return msgspec.msgpack.encode(
-            Snapshot(self.applied, self.term, self.version, self.sealed, self.digest, commands, rows)
+            Snapshot(self.applied, self.term, self.version, self.initialized, self.digest, commands, rows)
         )
 
-    def load(self, data: bytes) -> Applied:
+    def load(self, data: bytes) -> ApplyResult:
         """Replaces the state by a snapshot. Raises msgspec.DecodeError or zlib.error if it is damaged, before
         anything is changed."""
         snapshot: Snapshot = msgspec.msgpack.decode(data, type=Snapshot)
         rows = _decode_rows(zlib.decompress(snapshot.rows))
-        displaced = not self.sealed and self.weight() > 0
+        displaced = not self.initialized and self.weight() > 0
         if displaced:
             self._back_up()
         with self.db.change():
@@ -268,10 +268,10 @@
             self.db.db.execute("DELETE FROM commands")
             self.db.db.executemany("INSERT INTO commands VALUES (?, ?)", snapshot.commands)
             self.applied, self.term, self.version = snapshot.applied, snapshot.term, snapshot.version
-            self.sealed, self.digest = snapshot.sealed, snapshot.digest
+            self.initialized, self.digest = snapshot.initialized, snapshot.digest
             self._save_meta()
-        return Applied(whole=True, displaced=displaced)
+        return ApplyResult(state_replaced=True, other_state_replaced=displaced)
 
-    def known(self, command: str) -> bool:
+    def has_command(self, command: str) -> bool:
         """Whether a command took effect, within the last COMMANDS_KEPT log indexes."""
         return self.db.db.execute("SELECT 1 FROM commands WHERE id = ?", (command,)).fetchone() is not None
--- a/notchflow/store/commit.py
+++ b/notchflow/store/commit.py
@@ -2,7 +2,7 @@
 
 Changes submitted during a sync share the next one. There is no delay to collect a group: at low load each
 change costs one sync, at high load many share it. Results are delivered on the event loop's thread. Of the
-thread's data the event loop reads only the index, in `known`, under the index's own locks.
+thread's data the event loop reads only the index, in `contains`, under the index's own locks.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
         self.thread = threading.Thread(target=self._run, name="store", daemon=True)
 
     def start(self) -> RecoveryReport:
-        """Recovers the store on the calling thread and starts the commit thread. Raises Locked,
+        """Recovers the store on the calling thread and starts the commit thread. Raises StoreLockedError,
         CorruptionError, ManifestError, OSError."""
         recovered = self.engine.open()
         self.thread.start()
@@ -100,7 +100,7 @@
         """The store's clock, in milliseconds."""
         return self.engine.now()
 
-    def known(self, key: bytes) -> bool:
+    def contains(self, key: bytes) -> bool:
         """Whether the index has a durable record of a key. It may have expired. Does not access the disk."""
         return self.engine.index.get(key) is not None
 
@@ -212,7 +212,7 @@
 
     def _maintain(self) -> bool:
         try:
-            return self.engine.step()
+            return self.engine.run_maintenance()
         except StoreError as error:
             log.error("%s", error)
         except Exception:
--- a/notchflow/store/compaction.py
+++ b/notchflow/store/compaction.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from notchflow.store.frames import Kind, Record, expired
+from notchflow.store.frames import RecordKind, Record, expired
 
 MIN_GARBAGE_RATIO: Final = 0.5  # share of a segment that must be garbage before the rest is worth copying
 SMALL_SEGMENT_RATIO: Final = 0.1  # of a full segment: smaller ones are merged together
@@ -78,6 +78,6 @@
         return False
     if newest_may_be_lost:
         return True
-    if record.kind is Kind.PUT:
+    if record.kind is RecordKind.PUT:
         return newest == record.number
     return oldest_other is not None and oldest_other < record.number
--- a/notchflow/store/engine.py
+++ b/notchflow/store/engine.py
@@ -25,7 +25,7 @@
     SEGMENT_HEADER,
     Batch,
     FrameError,
-    Kind,
+    RecordKind,
     LocatedRecord,
     Record,
     batch_length,
@@ -83,22 +83,22 @@
     CLOSED = "closed"
 
 
-RecordFields: TypeAlias = tuple[int, Kind, bytes, bytes, int]  # number, kind, key, value, expiry
+RecordFields: TypeAlias = tuple[int, RecordKind, bytes, bytes, int]  # number, kind, key, value, expiry
 
 
 class Change(NamedTuple):
     """A change to write. Overwriting a key never makes it expire earlier than before; a delete needs no
     expiry."""
 
-    kind: Kind
+    kind: RecordKind
     key: bytes
     value: bytes = b""
     expires: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
-    """Options of a store. `segment_max` is the size in bytes at which a segment is sealed."""
+class EngineOptions:
+    """EngineOptions of a store. `segment_max` is the size in bytes at which a segment is sealed."""
 
     segment_max: int = 16 << 20
 
@@ -124,9 +124,9 @@
     """The result of a recovery."""
 
     records: int  # live
-    torn: int  # bytes of a torn write, cut off
-    scanned: int  # bytes of segments that were read as they had no valid hint file
-    hinted: int  # segments recovered from their hint files
+    torn_bytes: int  # bytes of a torn write, cut off
+    scanned_bytes: int  # bytes of segments that were read as they had no valid hint file
+    hinted_segments: int  # segments recovered from their hint files
 
 
 def read_batches(file: File, start: int, end: int) -> Iterator[Batch]:
@@ -144,8 +144,8 @@
     """An open store. `clock` returns milliseconds; the store's own clock never goes back, even if this one
     does or the store is reopened."""
 
-    def __init__(self, files: Files, clock: Callable[[], int], options: Options | None = None) -> None:
-        self.files, self.clock, self.options = files, clock, options or Options()
+    def __init__(self, files: Files, clock: Callable[[], int], options: EngineOptions | None = None) -> None:
+        self.files, self.clock, self.options = files, clock, options or EngineOptions()
         self.index = Index()
         self.segments: dict[int, Segment] = {}  # in manifest order; the last is the active segment
         self.retired: dict[int, Segment] = {}  # already merged, still read until the index is updated
@@ -157,7 +157,7 @@
         self.tombstones = hints.HintColumns()  # of the active segment
         self.deleted_digests: set[tuple[int, int]] = set()  # of keys that the active segment deletes
         self.running_compaction: Generator[None, None, None] | None = None
-        self.written = self.copied = 0  # bytes written by appends and by compactions
+        self.written_bytes = self.copied_bytes = 0  # bytes written by appends and by compactions
         self.compactions = 0
 
     # -- time
@@ -168,7 +168,7 @@
 
     # -- recovery
     def open(self) -> RecoveryReport:
-        """Locks the directory and recovers the store in it. Raises Locked, CorruptionError, ManifestError,
+        """Locks the directory and recovers the store in it. Raises StoreLockedError, CorruptionError, ManifestError,
         OSError."""
         self.files.lock()
         try:
@@ -315,7 +315,7 @@
         self.state = StoreState.OPEN
         self.next_number += len(numbered)
         segment.end += len(data)
-        self.written += len(data)
+        self.written_bytes += len(data)
         self._update_index(segment, numbered, locations)
         if segment.end >= self.options.segment_max:
             self._rotate_segment()
@@ -332,7 +332,7 @@
             check_sizes(key, value)
             key_digest = low, high = digest(key)
             old = expiries[key_digest] if key_digest in expiries else self.index.expiry(low, high)
-            if kind is Kind.DELETE:
+            if kind is RecordKind.DELETE:
                 if old is None:
                     continue
                 expires, expiries[key_digest] = old, None
@@ -382,7 +382,7 @@
         for ((number, kind, _, _, expires), low, high), (offset, length) in zip(
             records, locations, strict=True
         ):
-            if kind is Kind.PUT:
+            if kind is RecordKind.PUT:
                 put(low, high, number, name, offset, length, expires)
             else:
                 self.index.remove_by_digest(low, high, number)
@@ -454,7 +454,7 @@
                 raise CorruptionError(log_name(segment.number), error.offset, error.reason) from None
 
     # -- maintenance
-    def step(self) -> bool:
+    def run_maintenance(self) -> bool:
         """One step of maintenance: removes expired entries of one index shard, and continues or starts a
         compaction. Returns whether more work is due at once. Raises StoreFailedError, CorruptionError."""
         if self.state is StoreState.BROKEN or self.state is StoreState.CLOSED:
@@ -482,7 +482,7 @@
         """Runs all worthwhile compactions to the end."""
         for _ in range(len(self.index.shards)):
             self.index.sweep(self.now())
-        while self.step():
+        while self.run_maintenance():
             pass
 
     def _sealed_stats(self) -> list[SegmentStats]:
@@ -491,7 +491,7 @@
             SegmentStats(
                 s.number,
                 s.end - SEGMENT_HEADER,
-                self.index.live.get(s.number, 0),
+                self.index.live_bytes.get(s.number, 0),
                 s.tombstone_bytes + s.pinned_bytes,
                 s.first_number,
             )
@@ -522,11 +522,11 @@
         output.tombstone_bytes = columns.tombstone_bytes
         yield from self._update_locations(columns)
         output.pinned_bytes = (
-            output.end - SEGMENT_HEADER - self.index.live.get(number, 0) - output.tombstone_bytes
+            output.end - SEGMENT_HEADER - self.index.live_bytes.get(number, 0) - output.tombstone_bytes
         )
         for segment in [*inputs, *([] if number in self.segments else [output])]:
             self.retired.pop(segment.number, None)
-            self.index.live.pop(segment.number, None)
+            self.index.live_bytes.pop(segment.number, None)
             segment.file.close()
             self._remove_segment_files(segment.number)
         self.compactions += 1
@@ -586,7 +586,7 @@
         for record, (offset, length) in zip(records, locations, strict=True):
             columns.add(output.number, LocatedRecord(record, offset, length))
         output.end += len(data)
-        self.copied += len(data)
+        self.copied_bytes += len(data)
 
     def _install_merged(self, inputs: Sequence[Segment], output: Segment) -> None:
         """Puts the new segment in the place of the first merged one and publishes the manifest. An empty new
--- a/notchflow/store/files.py
+++ b/notchflow/store/files.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 
-class Locked(Exception):
+class StoreLockedError(Exception):
     """Another process has the directory open."""
 
 
@@ -68,7 +68,7 @@
         ...
 
     def lock(self) -> None:
-        """Locks the directory until `unlock` or the end of the process. Raises Locked."""
+        """Locks the directory until `unlock` or the end of the process. Raises StoreLockedError."""
 
     def unlock(self) -> None:
         """Releases the lock."""
@@ -190,14 +190,14 @@
             os.close(descriptor)
 
     def lock(self) -> None:
-        """Locks the directory until `unlock` or the end of the process. Raises Locked."""
+        """Locks the directory until `unlock` or the end of the process. Raises StoreLockedError."""
         descriptor = os.open(self.folder / self.LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(descriptor)
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
-                raise Locked(f"{self.folder}: another process has this store open") from None
+                raise StoreLockedError(f"{self.folder}: another process has this store open") from None
             raise
         self.lock_file = descriptor
 
--- a/notchflow/store/frames.py
+++ b/notchflow/store/frames.py
@@ -36,7 +36,7 @@
 RECORD_HEADER: Final = _RECORD.size + _CRC.size
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """The kind of a record: a value or a tombstone."""
 
     PUT = 1
@@ -57,7 +57,7 @@
     record that it deletes."""
 
     number: int
-    kind: Kind
+    kind: RecordKind
     key: bytes
     value: bytes = b""
     expires: int = 0
@@ -132,10 +132,10 @@
         raise FrameError(at, f"a record of {key_size} and {value_size} bytes cannot be here")
     if crc(data[start + _CRC.size : end]) != stored_crc:
         raise FrameError(at, "a record's checksum differs")
-    if kind not in (Kind.PUT, Kind.DELETE):
+    if kind not in (RecordKind.PUT, RecordKind.DELETE):
         raise FrameError(at, f"a record of kind {kind}")
     key_at, value_at = start + RECORD_HEADER, start + RECORD_HEADER + key_size
-    record = Record(number, Kind(kind), data[key_at:value_at], data[value_at:end], expires)
+    record = Record(number, RecordKind(kind), data[key_at:value_at], data[value_at:end], expires)
     return LocatedRecord(record, at, end - start)
 
 
--- a/notchflow/store/hints.py
+++ b/notchflow/store/hints.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from notchflow.store.files import Files, read_file, write_file
-from notchflow.store.frames import Kind, LocatedRecord, crc
+from notchflow.store.frames import RecordKind, LocatedRecord, crc
 from notchflow.store.index import LENGTH_MASK, EntryColumns, digest, pack
 from notchflow.store.manifest import hint_name
 
@@ -34,7 +34,7 @@
         entry itself."""
         record = placed.record
         low, high = digest(record.key)
-        if record.kind is Kind.DELETE:
+        if record.kind is RecordKind.DELETE:
             self.add_tombstone(
                 low, high, record.number, segment, placed.offset, placed.length, record.expires
             )
--- a/notchflow/store/index.py
+++ b/notchflow/store/index.py
@@ -174,13 +174,13 @@
 
     def __init__(self) -> None:
         self.shards = [Shard() for _ in range(SHARDS)]
-        self.live: dict[int, int] = {}  # segment -> bytes
+        self.live_bytes: dict[int, int] = {}  # segment -> bytes
         self.next_sweep = 0  # the shard that is swept next
 
     def __len__(self) -> int:
         return sum(shard.count for shard in self.shards)
 
-    def memory(self) -> int:
+    def memory_bytes(self) -> int:
         """Bytes used by the tables."""
         return sum(40 * shard.size for shard in self.shards)
 
@@ -220,7 +220,7 @@
                 shard.number[slot], shard.location[slot], shard.meta[slot] = number, location, meta
             else:
                 shard.add(slot, low, high, number, location, meta)
-        self.live[segment] = self.live.get(segment, 0) + length
+        self.live_bytes[segment] = self.live_bytes.get(segment, 0) + length
         return True
 
     def entries_of(self, segment: int) -> EntryColumns:
@@ -262,11 +262,11 @@
                 self._subtract_live_bytes(shard, slot)
                 shard.write(slot, low, high, number, location, meta)
             segment = location >> OFFSET_BITS
-            self.live[segment] = self.live.get(segment, 0) + (meta & LENGTH_MASK)
+            self.live_bytes[segment] = self.live_bytes.get(segment, 0) + (meta & LENGTH_MASK)
 
     def _subtract_live_bytes(self, shard: Shard, slot: int) -> None:
         segment = shard.location[slot] >> OFFSET_BITS
-        self.live[segment] = self.live.get(segment, 0) - (shard.meta[slot] & LENGTH_MASK)
+        self.live_bytes[segment] = self.live_bytes.get(segment, 0) - (shard.meta[slot] & LENGTH_MASK)
 
     def sweep(self, now: int) -> int:
         """Removes the expired entries of the next shard and returns their number. `now` is in
@@ -295,7 +295,7 @@
         entries = EntryColumns(*(column[last] for column in entries))
         segments, sizes = entries.location >> np.uint64(OFFSET_BITS), entries.meta & np.uint64(LENGTH_MASK)
         for segment in np.unique(segments):
-            self.live[int(segment)] = int(sizes[segments == segment].sum())
+            self.live_bytes[int(segment)] = int(sizes[segments == segment].sum())
         shard_of = entries.low & np.uint64(SHARDS - 1)
         entries = EntryColumns(*(column[np.argsort(shard_of, kind="stable")] for column in entries))
         bounds = np.searchsorted(np.sort(shard_of), np.arange(SHARDS + 1, dtype=np.uint64)).tolist()
--- a/notchflow/store/tools.py
+++ b/notchflow/store/tools.py
@@ -13,7 +13,7 @@
     SEGMENT_HEADER,
     Batch,
     FrameError,
-    Kind,
+    RecordKind,
     Record,
     decode_segment_header,
     encode_segment_header,
@@ -148,7 +148,7 @@
     for record in _all_records(files, current):
         if include_all or (
             newest[record.key] == record.number
-            and record.kind is Kind.PUT
+            and record.kind is RecordKind.PUT
             and not expired(record.expires, now)
         ):
             yield record
@@ -166,7 +166,7 @@
 
 
 def compact(files: Files, clock: Callable[[], int]) -> tuple[int, int]:
-    """Runs all worthwhile compactions; returns the store's size before and after in bytes. Raises Locked,
+    """Runs all worthwhile compactions; returns the store's size before and after in bytes. Raises StoreLockedError,
     CorruptionError, ManifestError, OSError."""
     before = _size(files)
     engine = Engine(files, clock)
@@ -184,7 +184,7 @@
 
 def repair(files: Files) -> tuple[Damage, ...]:
     """Replaces each damaged segment by a new one with its readable batches, and keeps the old file as
-    `damaged-NAME`. The lost records may have been the newest of any key. Raises Locked, ManifestError."""
+    `damaged-NAME`. The lost records may have been the newest of any key. Raises StoreLockedError, ManifestError."""
     files.lock()
     try:
         damages = [d for d in check(files).damages if not d.torn]
--- a/standins/faulty_files.py
+++ b/standins/faulty_files.py
@@ -15,7 +15,7 @@
 import random
 from dataclasses import dataclass, field
 
-from notchflow.store.files import File, Locked
+from notchflow.store.files import File, StoreLockedError
 
 SECTOR = 512
 
@@ -169,9 +169,9 @@
         self.changes.clear()
 
     def lock(self) -> None:
-        """Locks the folder; Locked if it is locked already."""
+        """Locks the folder; StoreLockedError if it is locked already."""
         if self.locked:
-            raise Locked("another process has this store open")
+            raise StoreLockedError("another process has this store open")
         self.locked = True
 
     def unlock(self) -> None:
--- a/tests/effects/test_keeper.py
+++ b/tests/effects/test_service.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from notchflow.effects.keeper import Guard, Keeper, boot_id
-from notchflow.effects.memory import Rule
+from notchflow.effects.service import Guard, IdempotencyService, boot_id
+from notchflow.effects.tracker import IdempotencyRule
 from notchflow.effects.record import Effect, Fate
 from notchflow.interface import Effect as Kind
 from notchflow.net.exchange import ClientRequest, Downstream, LocalReply
@@ -19,10 +19,10 @@
 from standins.faulty_files import FaultyFiles
 from tests.rig import run, until
 from tests.store.test_commit import BlockedSync
-from tests.store.world import SMALL
+from tests.store.model import SMALL
 
 BUSY = LocalReply(503)
-RULES = {"pay": Rule(Kind.UNSAFE, 60_000), "slot": Rule(Kind.KEYED, 60_000, 750.0)}
+RULES = {"pay": IdempotencyRule(Kind.UNSAFE, 60_000), "slot": IdempotencyRule(Kind.KEYED, 60_000, 750.0)}
 
 
 class Client:
@@ -38,7 +38,7 @@
 
 
 class Harness:
-    """A `Keeper` on a store with fault injection, with timers that the test fires."""
+    """A `IdempotencyService` on a store with fault injection, with timers that the test fires."""
 
     classes = {"pay": 1_000.0, "slot": 1_000.0}
 
@@ -49,8 +49,8 @@
         self.store.start()
         self.timers: dict[int, tuple[Callable[..., None], Any]] = {}
         self.now = 5_000
-        self.keeper = Keeper(self.store, cast(Any, self), self._cancel, boot=7, clock=lambda: self.now)
-        self.keeper.rules = RULES
+        self.service = IdempotencyService(self.store, cast(Any, self), self._cancel, boot=7, clock=lambda: self.now)
+        self.service.rules = RULES
         self.sent: list[bytes] = []
 
     def call_at(self, due: float, call: Callable[..., None], argument: Any = None) -> Any:
@@ -71,7 +71,7 @@
         client = Client()
         call = ClientRequest(cast(Downstream, client), client)
         call.method, call.url, call.body = b"POST", b"/pay", [body]
-        guard = self.keeper.guard(call, cls, key, BUSY, lambda earlier: self.sent.append(key))
+        guard = self.service.guard(call, cls, key, BUSY, lambda earlier: self.sent.append(key))
         assert guard is not None
         return guard, client, guard.begin(call, cls)
 
@@ -83,13 +83,13 @@
         asked = [harness.ask(b"o-%d" % n) for n in range(200)]
         await until(lambda: all(client.replies or reply for _, client, reply in asked))
         assert {reply or client.replies[0] for _, client, reply in asked} == {BUSY}
-        assert harness.sent == [] and harness.keeper.tracker.active == {} and harness.timers == {}
-        assert harness.keeper.refused == 200 and harness.keeper.figures()["store"] == "full"
+        assert harness.sent == [] and harness.service.tracker.active == {} and harness.timers == {}
+        assert harness.service.refused == 200 and harness.service.metrics()["store"] == "full"
         harness.files.capacity = None
         for n in range(200):
             assert harness.ask(b"o-%d" % n)[2] is None
         await until(lambda: len(harness.sent) == 200)
-        assert harness.keeper.figures()["store"] == "open"
+        assert harness.service.metrics()["store"] == "open"
         harness.store.stop()
 
     run(test())
@@ -104,7 +104,7 @@
         assert reply is None and client.replies == [BUSY]
         for cls in ("pay", "slot"):
             assert harness.ask(b"o-2", cls)[2] is BUSY
-        assert harness.sent == [] and harness.keeper.tracker.active == {}
+        assert harness.sent == [] and harness.service.tracker.active == {}
         harness.store.stop()
 
     run(test())
@@ -124,7 +124,7 @@
         guard.ended(503, False)
         assert harness.ask(b"o-1")[2] is not BUSY, "the key is active until the write has ended"
         blocked.go.set()
-        await until(lambda: not harness.keeper.tracker.active)
+        await until(lambda: not harness.service.tracker.active)
         assert harness.sent == []
         assert harness.ask(b"o-1")[2] is None
         await until(lambda: harness.sent == [b"o-1"])
@@ -143,9 +143,9 @@
         guard, _, _ = harness.ask(b"o-1")
         guard.ended(0, False)
         blocked.go.set()
-        await until(lambda: not harness.keeper.tracker.active)
+        await until(lambda: not harness.service.tracker.active)
         assert harness.sent == [] and harness.timers == {}
-        await until(lambda: not harness.store.known(b"o-1"))
+        await until(lambda: not harness.store.contains(b"o-1"))
         harness.store.stop()
 
     run(test())
@@ -163,7 +163,7 @@
         second.ended(409, False)
         assert harness.ask(b"o-1")[2] is not None, "the first is still running"
         first.ended(200, True)
-        await until(lambda: not harness.keeper.tracker.active)
+        await until(lambda: not harness.service.tracker.active)
         _, client, reply = harness.ask(b"o-1")
         await until(lambda: client.replies)
         assert reply is None and client.replies[0].status == 200 and b"served" in client.replies[0].body
@@ -176,7 +176,7 @@
     async def test() -> None:
         harness = Harness(FaultyFiles())
         from notchflow.store.engine import Change
-        from notchflow.store.frames import Kind as Record
+        from notchflow.store.frames import RecordKind as Record
 
         done: list[object] = []
         effect = Effect(Fate.SERVED, b"f" * 16, 7, 1, 200).encode()
@@ -191,7 +191,7 @@
             _, client, reply = harness.ask(key)
             await until(lambda c=client: c.replies)  # type: ignore[misc]
             assert reply is None and client.replies == [BUSY]
-        assert harness.sent == [] and harness.keeper.tracker.active == {}
+        assert harness.sent == [] and harness.service.tracker.active == {}
         harness.store.stop()
 
     run(test())
@@ -203,11 +203,11 @@
         guard, _, reply = harness.ask(b"s-1", "slot")
         assert reply is None and harness.sent == [b"s-1"], "the disk is not waited for"
         guard.ended(502, True)
-        await until(lambda: not harness.keeper.tracker.active)
+        await until(lambda: not harness.service.tracker.active)
         harness.now += 400
         _, client, _ = harness.ask(b"s-1", "slot")
         await until(lambda: len(harness.sent) == 2)
-        harness.keeper.tracker.active.clear()
+        harness.service.tracker.active.clear()
         harness.now += 400
         _, client, _ = harness.ask(b"s-1", "slot")
         await until(lambda: client.replies)
--- a/tests/effects/test_memory.py
+++ b/tests/effects/test_tracker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from notchflow.effects.memory import (
+from notchflow.effects.tracker import (
     ActiveKey,
     IdempotencyTracker,
     InvalidTransition,
@@ -17,18 +17,18 @@
     Reject,
     RejectReason,
     Replay,
-    Rule,
+    IdempotencyRule,
     Start,
 )
 from notchflow.effects.record import Effect, Fate, decode, fingerprint
 from notchflow.interface import Effect as Kind
 
-UNSAFE = Rule(Kind.UNSAFE, 60_000)
-KEYED = Rule(Kind.KEYED, 60_000, 750.0)
+UNSAFE = IdempotencyRule(Kind.UNSAFE, 60_000)
+KEYED = IdempotencyRule(Kind.KEYED, 60_000, 750.0)
 ONE, OTHER = b"a" * 16, b"b" * 16
 
 
-def start(tracker: IdempotencyTracker, rule: Rule = UNSAFE, now: int = 1000) -> Start:
+def start(tracker: IdempotencyTracker, rule: IdempotencyRule = UNSAFE, now: int = 1000) -> Start:
     decision = tracker.request_arrived(b"k", ONE, rule, now, False)
     assert isinstance(decision, Start)
     if decision.wait:
@@ -152,9 +152,9 @@
 
 def test_invalid_rules_are_rejected() -> None:
     with pytest.raises(ValueError, match="safe"):
-        Rule(Kind.SAFE, 1000)
+        IdempotencyRule(Kind.SAFE, 1000)
     with pytest.raises(ValueError, match="window"):
-        Rule(Kind.KEYED, 500, 500.0)
+        IdempotencyRule(Kind.KEYED, 500, 500.0)
 
 
 def test_records_round_trip_and_other_bytes_are_rejected() -> None:
--- a/tests/state/test_database.py
+++ b/tests/state/test_database.py
@@ -40,8 +40,8 @@
     assert db.tenant("alfa") == ALFA and db.tenant("beta") is None
     assert db.tenants() == [ALFA] and db.tenants("alfa") == [] and db.tenants(state="gone") == []
     assert db.live_keys() == [ApiKey("k1", "alfa", b"d" * 32, "till", 1.0, 99.0)]
-    db.note_used({"k1": 50.0, "unknown": 1.0})
-    db.note_used({"k1": 40.0})
+    db.record_key_use({"k1": 50.0, "unknown": 1.0})
+    db.record_key_use({"k1": 40.0})
     assert db.keys("alfa")[0][1] == 50.0
     token = db.token("t1")
     assert token is not None and token.usable(5.0)
--- a/tests/store/world.py
+++ b/tests/store/model.py
@@ -4,11 +4,11 @@
 
 import random
 
-from notchflow.store.engine import Change, DiskFullError, Engine, Options, StoreFailedError
-from notchflow.store.frames import Kind, later_expiry
+from notchflow.store.engine import Change, DiskFullError, Engine, EngineOptions, StoreFailedError
+from notchflow.store.frames import RecordKind, later_expiry
 from standins.faulty_files import FaultyFiles
 
-SMALL = Options(segment_max=4096)
+SMALL = EngineOptions(segment_max=4096)
 Model = dict[bytes, tuple[bytes, int]]
 
 
@@ -31,7 +31,7 @@
 def apply_changes(model: Model, changes: list[Change], now: int) -> Model:
     after = {key: stored for key, stored in model.items() if not 0 < stored[1] <= now}
     for change in changes:
-        if change.kind is Kind.PUT:
+        if change.kind is RecordKind.PUT:
             old = after.get(change.key)
             after[change.key] = change.value, later_expiry(change.expires, old[1]) if old else change.expires
         else:
@@ -61,17 +61,17 @@
             self.numbers += 1
             expires = 0 if rng.random() < 0.5 else self.now + rng.randrange(1, 4000)
             if rng.random() < 0.2:
-                found.append(Change(Kind.DELETE, key))
+                found.append(Change(RecordKind.DELETE, key))
             else:
                 value = b"%d:" % self.numbers + b"x" * rng.choice([0, 10, 200, 700])
-                found.append(Change(Kind.PUT, key, value, expires))
+                found.append(Change(RecordKind.PUT, key, value, expires))
         return found
 
     def step(self, engine: Engine) -> None:
         """One append or one maintenance step."""
         self.now += self.rng.choice([0, 1, 100])
         if self.rng.random() < 0.35:
-            engine.step()
+            engine.run_maintenance()
             return
         changes = self.changes()
         after = apply_changes(self.model, changes, self.now)
--- a/tests/store/test_commit.py
+++ b/tests/store/test_commit.py
@@ -12,16 +12,16 @@
 
 from notchflow.store.commit import Committer, QueueFullError
 from notchflow.store.engine import Change, DiskFullError, Engine, StoreError, StoreFailedError, StoreState
-from notchflow.store.files import Locked, RealFiles
-from notchflow.store.frames import Kind, Record
+from notchflow.store.files import StoreLockedError, RealFiles
+from notchflow.store.frames import RecordKind, Record
 from notchflow.store.tools import store_clock
 from standins.faulty_files import FaultyFile, FaultyFiles
 from tests.rig import run
-from tests.store.world import SMALL
+from tests.store.model import SMALL
 
 
 def put(number: int, size: int = 10) -> Change:
-    return Change(Kind.PUT, b"k%d" % number, b"v" * size)
+    return Change(RecordKind.PUT, b"k%d" % number, b"v" * size)
 
 
 def make_committer(files: RealFiles | FaultyFiles, **more: int) -> Committer:
@@ -68,11 +68,11 @@
         assert await asyncio.to_thread(blocked.syncing.wait, 10)
         others = [submitted(store, put(n)) for n in range(1, 200)]
         await asyncio.sleep(0)
-        assert not first.done() and not store.known(b"k0")
+        assert not first.done() and not store.contains(b"k0")
         blocked.go.set()
         assert await asyncio.gather(first, *others) == [None] * 200
         assert store.metrics.commits == 2 and store.metrics.changes == 200 and store.metrics.queued_bytes == 0
-        assert store.known(b"k150") and not store.known(b"k999")
+        assert store.contains(b"k150") and not store.contains(b"k999")
         found = await read(store, b"k150")
         assert isinstance(found, Record) and found.value == b"v" * 10 and await read(store, b"k999") is None
         store.stop()
@@ -142,7 +142,7 @@
         store.submit([put(0)], failing)
         assert await submitted(store, put(1)) is None
         with pytest.raises(ValueError, match="key of 0"):
-            store.submit([Change(Kind.PUT, b"")], failing)
+            store.submit([Change(RecordKind.PUT, b"")], failing)
         store.stop()
 
     run(test())
@@ -152,14 +152,14 @@
     async def test() -> None:
         store = make_committer(RealFiles(tmp_path / "s"))
         store.start()
-        with pytest.raises(Locked, match="another process"):
+        with pytest.raises(StoreLockedError, match="another process"):
             make_committer(RealFiles(tmp_path / "s")).start()
         waiting = [submitted(store, put(n, 300)) for n in range(50)]
         await asyncio.to_thread(store.stop)
         assert await asyncio.gather(*waiting) == [None] * 50
         again = make_committer(RealFiles(tmp_path / "s"))
         recovered = again.start()
-        assert recovered.records == 50 and recovered.torn == 0
+        assert recovered.records == 50 and recovered.torn_bytes == 0
         again.stop()
 
     run(test())
--- a/tests/store/test_frames.py
+++ b/tests/store/test_frames.py
@@ -11,7 +11,7 @@
     KEY_MAX,
     VALUE_MAX,
     FrameError,
-    Kind,
+    RecordKind,
     Record,
     crc,
     decode_batch,
@@ -27,7 +27,7 @@
 RECORDS = st.builds(
     Record,
     st.integers(0, 2**64 - 1),
-    st.sampled_from(Kind),
+    st.sampled_from(RecordKind),
     st.binary(min_size=1, max_size=40),
     st.binary(max_size=100),
     st.integers(0, 2**40),
@@ -59,7 +59,7 @@
 
 
 def test_every_flipped_bit_and_truncation_of_a_batch_is_detected() -> None:
-    data, _ = encode_batch([Record(7, Kind.PUT, b"key", b"value", 9), Record(8, Kind.DELETE, b"other")], 5)
+    data, _ = encode_batch([Record(7, RecordKind.PUT, b"key", b"value", 9), Record(8, RecordKind.DELETE, b"other")], 5)
     for bit in range(8 * len(data)):
         corrupt = bytearray(data)
         corrupt[bit // 8] ^= 1 << bit % 8
@@ -71,7 +71,7 @@
 
 
 def test_every_flipped_bit_of_a_record_is_detected() -> None:
-    data = encode_record(Record(7, Kind.PUT, b"key", b"value", 9))
+    data = encode_record(Record(7, RecordKind.PUT, b"key", b"value", 9))
     for bit in range(8 * len(data)):
         corrupt = bytearray(data)
         corrupt[bit // 8] ^= 1 << bit % 8
@@ -80,8 +80,8 @@
 
 
 def test_a_batch_after_a_corrupt_one_is_found() -> None:
-    one, _ = encode_batch([Record(1, Kind.PUT, b"a")], 0)
-    two, _ = encode_batch([Record(2, Kind.PUT, b"b")], 0)
+    one, _ = encode_batch([Record(1, RecordKind.PUT, b"a")], 0)
+    two, _ = encode_batch([Record(2, RecordKind.PUT, b"b")], 0)
     corrupt = one[:BATCH_HEADER] + b"\0" * (len(one) - BATCH_HEADER) + two
     found = find_batch(corrupt, 0)
     assert found is not None and found.offset == len(one) and found.records[0].record.key == b"b"
@@ -94,7 +94,7 @@
 )
 def test_empty_or_oversized_keys_and_values_are_rejected(key: bytes, value: bytes, what: str) -> None:
     with pytest.raises(ValueError, match=what):
-        Record(1, Kind.PUT, key, value)
+        Record(1, RecordKind.PUT, key, value)
 
 
 def test_a_segment_header_with_the_wrong_number_or_bad_bytes_is_rejected() -> None:
--- a/tests/store/test_index.py
+++ b/tests/store/test_index.py
@@ -7,7 +7,7 @@
 import numpy as np
 import pytest
 
-from notchflow.store.frames import Kind, LocatedRecord, Record
+from notchflow.store.frames import RecordKind, LocatedRecord, Record
 from notchflow.store.hints import HintColumns, decode, encode
 from notchflow.store.index import SHARDS, Entry, Index, Shard, pack, unpack
 
@@ -33,7 +33,7 @@
     live = dict.fromkeys(range(7), 0)
     for found in model.values():
         live[found.segment] += found.length
-    assert {k: v for k, v in index.live.items() if v} == {k: v for k, v in live.items() if v}
+    assert {k: v for k, v in index.live_bytes.items() if v} == {k: v for k, v in live.items() if v}
 
 
 def test_colliding_keys_around_the_end_of_a_table_are_found_after_deletions() -> None:
@@ -79,7 +79,7 @@
     for segment in range(5):
         records = []
         for number in numbers[segment * 1000 : (segment + 1) * 1000]:
-            kind = Kind.DELETE if rng.random() < 0.2 else Kind.PUT
+            kind = RecordKind.DELETE if rng.random() < 0.2 else RecordKind.PUT
             record = Record(number, kind, b"%d" % rng.randrange(800))
             records.append(record)
             if record.key not in model or model[record.key].number < number:
@@ -87,12 +87,12 @@
         parts.append(hint_columns(records, segment).entries())
     index = Index()
     index.bulk_load(type(parts[0])(*(np.concatenate(c) for c in zip(*parts, strict=True))))
-    expected = {k: r.number for k, r in model.items() if r.kind is Kind.PUT}
+    expected = {k: r.number for k, r in model.items() if r.kind is RecordKind.PUT}
     assert len(index) == len(expected)
     for key, number in expected.items():
         found = index.get(key)
         assert found is not None and found.number == number
-    assert sum(index.live.values()) == 10 * len(expected)
+    assert sum(index.live_bytes.values()) == 10 * len(expected)
     index.put(b"new", entry(9000))
     assert index.get(b"new") == entry(9000), "the loaded index accepts new entries"
 
@@ -115,7 +115,7 @@
 
 
 def test_a_hint_that_is_corrupt_or_of_another_length_is_ignored() -> None:
-    hint = hint_columns([Record(1, Kind.PUT, b"a"), Record(2, Kind.DELETE, b"b")], 9)
+    hint = hint_columns([Record(1, RecordKind.PUT, b"a"), Record(2, RecordKind.DELETE, b"b")], 9)
     data = encode(9, 500, hint)
     found = decode(data, 9, 500)
     assert found is not None and found[0].number.tolist() == [1, 2] and found[1] == 10
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -15,14 +15,14 @@
     CorruptionError,
     DiskFullError,
     Engine,
-    Options,
+    EngineOptions,
     StoreFailedError,
     StoreState,
 )
-from notchflow.store.files import Locked
-from notchflow.store.frames import SEGMENT_HEADER, Kind
+from notchflow.store.files import StoreLockedError
+from notchflow.store.frames import SEGMENT_HEADER, RecordKind
 from standins.faulty_files import FaultyFiles, PowerCut
-from tests.store.world import SMALL, History, apply_changes, contents, live_records, open_engine
+from tests.store.model import SMALL, History, apply_changes, contents, live_records, open_engine
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 SEEDS = 3000 if LONG else 250
@@ -37,7 +37,7 @@
     for _ in range(batches):
         batches_written.append(history.changes())
         engine.append(batches_written[-1])
-        engine.step()
+        engine.run_maintenance()
     assert engine.compactions > 0 and len(engine.segments) > 1
     return files, batches_written
 
@@ -70,7 +70,7 @@
         seen.add(reached)
         if cut % 11:
             continue
-        engine.append([Change(Kind.PUT, b"new", b"%d" % cut)])
+        engine.append([Change(RecordKind.PUT, b"new", b"%d" % cut)])
         engine.close()
         again = contents(open_engine(copy))
         assert again.pop(b"new") == b"%d" % cut and again == found
@@ -121,7 +121,7 @@
     engine = open_engine(files)
     ends = []
     for n in range(3):
-        engine.append([Change(Kind.PUT, b"k%d" % n, b"value")])
+        engine.append([Change(RecordKind.PUT, b"k%d" % n, b"value")])
         ends.append(engine.active.end)
     for offset in range(SEGMENT_HEADER, ends[1]):
         copy = files.copy()
@@ -137,7 +137,7 @@
 def test_after_a_clean_shutdown_a_bad_last_batch_is_corruption() -> None:
     files = FaultyFiles()
     engine = open_engine(files)
-    engine.append([Change(Kind.PUT, b"a", b"b")])
+    engine.append([Change(RecordKind.PUT, b"a", b"b")])
     end = engine.active.end
     engine.close()
     files.files[manifest.log_name(1)].seen[end - 1] ^= 1
@@ -199,13 +199,13 @@
     """After a failed sync the kernel marks the pages clean: a second sync succeeds without writing them."""
     files = FaultyFiles()
     engine = open_engine(files)
-    engine.append([Change(Kind.PUT, b"a", b"1")])
+    engine.append([Change(RecordKind.PUT, b"a", b"1")])
     files.errors = {files.operations + 2: errno.EIO}  # the write, then the sync
     with pytest.raises(StoreFailedError):
-        engine.append([Change(Kind.PUT, b"b", b"2")])
+        engine.append([Change(RecordKind.PUT, b"b", b"2")])
     assert engine.state is StoreState.BROKEN
     with pytest.raises(StoreFailedError):
-        engine.append([Change(Kind.PUT, b"c", b"3")])
+        engine.append([Change(RecordKind.PUT, b"c", b"3")])
     record = engine.read(b"a")
     assert record is not None and record.value == b"1", "acknowledged records stay readable"
     assert engine.read(b"b") is None
@@ -215,14 +215,14 @@
 def test_a_full_disk_rejects_writes_until_there_is_space() -> None:
     files = FaultyFiles()
     engine = open_engine(files)
-    engine.append([Change(Kind.PUT, b"a", b"1")])
+    engine.append([Change(RecordKind.PUT, b"a", b"1")])
     files.capacity = sum(len(i.seen) for i in files.files.values()) + 30
     for _ in range(3):
         with pytest.raises(DiskFullError):
-            engine.append([Change(Kind.PUT, b"b", b"2" * 500)])
+            engine.append([Change(RecordKind.PUT, b"b", b"2" * 500)])
     assert engine.state is StoreState.FULL and engine.read(b"b") is None
     files.capacity = None
-    engine.append([Change(Kind.PUT, b"c", b"3")])
+    engine.append([Change(RecordKind.PUT, b"c", b"3")])
     assert engine.append([]) == 2 and str(engine.state) == str(StoreState.OPEN)
     assert contents(engine) == {b"a": b"1", b"c": b"3"} == contents(open_engine(files.after_cut(3)))
 
@@ -231,11 +231,11 @@
     """A write on a full disk reached the disk but its truncation did not, before a clean shutdown."""
     files = FaultyFiles()
     engine = open_engine(files)
-    engine.append([Change(Kind.PUT, b"a", b"1")])
+    engine.append([Change(RecordKind.PUT, b"a", b"1")])
     end = engine.active.end
     files.capacity = sum(len(i.seen) for i in files.files.values()) + 20
     with pytest.raises(DiskFullError):
-        engine.append([Change(Kind.PUT, b"b", b"2" * 500)])
+        engine.append([Change(RecordKind.PUT, b"b", b"2" * 500)])
     files.capacity = None
     engine.close()
     files.files[manifest.log_name(1)].seen += b"left over"
@@ -245,7 +245,7 @@
             del copy.files[manifest.hint_name(1)]
         engine = open_engine(copy)
         assert engine.active.end == end
-        engine.append([Change(Kind.PUT, b"c", b"3")])
+        engine.append([Change(RecordKind.PUT, b"c", b"3")])
         assert contents(open_engine(copy.after_cut(1))) == {b"a": b"1", b"c": b"3"}
 
 
@@ -254,12 +254,12 @@
     engine = open_engine(files)
     value = b"v" * 900
     while engine.active.end < SMALL.segment_max - 1000:
-        engine.append([Change(Kind.PUT, b"k%d" % engine.next_number, value)])
+        engine.append([Change(RecordKind.PUT, b"k%d" % engine.next_number, value)])
     files.capacity = sum(len(i.seen) for i in files.files.values()) + 1000
-    engine.append([Change(Kind.PUT, b"last", value)])
+    engine.append([Change(RecordKind.PUT, b"last", value)])
     assert engine.state is StoreState.FULL and len(engine.segments) == 1, "acknowledged, but no new segment"
     files.capacity = None
-    engine.append([Change(Kind.PUT, b"more", value)])
+    engine.append([Change(RecordKind.PUT, b"more", value)])
     assert len(engine.segments) == 2
     assert {b"last", b"more"} <= set(contents(open_engine(files.after_cut(1))))
 
@@ -267,7 +267,7 @@
 def test_the_store_has_one_writer() -> None:
     files = FaultyFiles()
     engine = open_engine(files)
-    with pytest.raises(Locked):
+    with pytest.raises(StoreLockedError):
         open_engine(files)
     engine.close()
     open_engine(files)
@@ -277,12 +277,12 @@
     files, now = FaultyFiles(), 10_000
     engine = Engine(files, lambda: now, SMALL)
     engine.open()
-    engine.append([Change(Kind.PUT, b"short", b"", 10_500), Change(Kind.PUT, b"long", b"", 90_000)])
+    engine.append([Change(RecordKind.PUT, b"short", b"", 10_500), Change(RecordKind.PUT, b"long", b"", 90_000)])
     now = 11_000
     assert engine.read(b"short") is None
     now = 2_000
     assert engine.read(b"short") is None and engine.read(b"long") is not None and engine.now() == 11_000
-    engine.append([Change(Kind.PUT, b"other", b"", 12_000)])
+    engine.append([Change(RecordKind.PUT, b"other", b"", 12_000)])
     again = Engine(files.after_cut(0), lambda: 500, SMALL)
     again.open()
     assert again.now() == 11_000, "the time is recovered from the batch"
@@ -292,7 +292,7 @@
 def test_segments_without_a_valid_manifest_are_not_taken_for_a_new_store() -> None:
     files = FaultyFiles()
     engine = open_engine(files)
-    engine.append([Change(Kind.PUT, b"a", b"1")])
+    engine.append([Change(RecordKind.PUT, b"a", b"1")])
     copy = files.copy()
     del copy.files[manifest.NAME]
     with pytest.raises(CorruptionError, match="no manifest"):
@@ -309,17 +309,17 @@
 
 def test_disk_usage_stays_close_to_the_live_data() -> None:
     """Ten thousand changes of five hundred keys: 2 MB without compaction, of which 100 kB are live."""
-    files, rng, options = FaultyFiles(), random.Random(1), Options(segment_max=16384)
+    files, rng, options = FaultyFiles(), random.Random(1), EngineOptions(segment_max=16384)
     engine = Engine(files, lambda: 1000, options)
     engine.open()
     for n in range(10_000):
-        engine.append([Change(Kind.PUT, b"key-%d" % rng.randrange(500), b"%d" % n + b"x" * 150)])
-        engine.step()
+        engine.append([Change(RecordKind.PUT, b"key-%d" % rng.randrange(500), b"%d" % n + b"x" * 150)])
+        engine.run_maintenance()
     engine.compact()
     size = sum(len(i.seen) for n, i in files.files.items() if n.endswith(".log"))
     assert len(contents(engine)) == 500
     assert size < 2 * 500 * 230 + 2 * options.segment_max
-    assert engine.copied < 1.5 * engine.written
+    assert engine.copied_bytes < 1.5 * engine.written_bytes
     assert len(contents(open_engine(files.after_cut(1)))) == 500
 
 
@@ -328,7 +328,7 @@
     engine = Engine(files, lambda: now, SMALL)
     engine.open()
     for n in range(500):
-        engine.append([Change(Kind.PUT, b"key-%d" % n, b"x" * 100, 2000)])
+        engine.append([Change(RecordKind.PUT, b"key-%d" % n, b"x" * 100, 2000)])
     assert len(engine.index) == 500
     now = 3000
     engine.compact()
--- a/tests/store/test_tools.py
+++ b/tests/store/test_tools.py
@@ -12,8 +12,8 @@
 from notchflow.store import manifest, tools
 from notchflow.store.engine import Change, Engine
 from notchflow.store.files import RealFiles
-from notchflow.store.frames import Kind
-from tests.store.world import SMALL, contents
+from notchflow.store.frames import RecordKind
+from tests.store.model import SMALL, contents
 
 
 def make_store(folder: Path, count: int = 60) -> Engine:
@@ -21,7 +21,7 @@
     engine = Engine(RealFiles(folder), lambda: 1000, SMALL)
     engine.open()
     for n in range(count):
-        engine.append([Change(Kind.PUT, b"key-%d" % n, b"v" * 200, 0)])
+        engine.append([Change(RecordKind.PUT, b"key-%d" % n, b"v" * 200, 0)])
     return engine
 
 
@@ -107,8 +107,8 @@
     engine = Engine(RealFiles(tmp_path), lambda: 1000, SMALL)
     engine.open()
     effect = Effect(Fate.SERVED, b"f" * 16, 7, 900, 200)
-    engine.append([Change(Kind.PUT, b"alfa/order-1", effect.encode()), Change(Kind.PUT, b"\xff", b"\1\2")])
-    engine.append([Change(Kind.PUT, b"gone", b""), Change(Kind.DELETE, b"gone")])
+    engine.append([Change(RecordKind.PUT, b"alfa/order-1", effect.encode()), Change(RecordKind.PUT, b"\xff", b"\1\2")])
+    engine.append([Change(RecordKind.PUT, b"gone", b""), Change(RecordKind.DELETE, b"gone")])
     engine.close()
     assert main(["store", "dump", str(tmp_path)]) == 0
     lines = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
@@ -126,7 +126,7 @@
 def test_the_compact_command_frees_disk_space(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     engine = make_store(tmp_path, 100)
     for n in range(90):
-        engine.append([Change(Kind.DELETE, b"key-%d" % n)])
+        engine.append([Change(RecordKind.DELETE, b"key-%d" % n)])
     abandon(engine)
     assert main(["store", "compact", str(tmp_path)]) == 0
     before, after = (int(word) for word in capsys.readouterr().out.split() if word.isdigit())
