--- a/notchflow/admin/api.py
+++ b/notchflow/admin/api.py
@@ -20,7 +20,7 @@
 from starlette.exceptions import HTTPException
 
 from notchflow.admin import models as m
-from notchflow.admin.operations import Actor, ApiProblem, Change, Done, Operations, etag
+from notchflow.admin.operations import Actor, ApiProblem, Change, ChangeResult, Operations, etag
 from notchflow.hosting.schema import LimitsModel, TenantId
 from notchflow.tenancy.model import Tenant
 
@@ -41,19 +41,19 @@
         """The fields of `UsageView`."""
         ...
 
-    async def boxes(self) -> list[dict[str, Any]]:
+    async def node_statuses(self) -> list[dict[str, Any]]:
         """The fields of `BoxView` for each node."""
         ...
 
-    async def proxy(self) -> dict[str, Any]:
+    async def proxy_status(self) -> dict[str, Any]:
         """The fields of `ProxyView`."""
         ...
 
-    async def cluster(self) -> dict[str, Any] | None:
+    async def cluster_status(self) -> dict[str, Any] | None:
         """The fields of `ClusterView`; None if the instance is not a member of a fleet."""
         ...
 
-    async def duty(self, active: bool) -> bool:
+    async def set_active(self, active: bool) -> bool:
         """Makes the proxy active or puts it on standby. False: the process is about to end."""
         ...
 
@@ -61,13 +61,13 @@
 class AgreedState(Protocol):
     """The state that a fleet agrees on, for an instance that is a member of one."""
 
-    thread: ThreadPoolExecutor
+    executor: ThreadPoolExecutor
 
-    async def newest(self) -> None:
+    async def wait_until_current(self) -> None:
         """Returns once everything that was agreed before the call is in force here. ApiProblem: there is no
         majority."""
 
-    async def change(self, call: Callable[..., Done[T]], *args: Any) -> T:
+    async def change(self, call: Callable[..., ChangeResult[T]], *args: Any) -> T:
         """Runs a change and returns its result once the fleet has agreed on it and it is in force here.
         ApiProblem: the fleet could not agree, or it is not known whether it did."""
         ...
@@ -80,24 +80,24 @@
         self, operations: Operations, proxy: RunningProxy, agreed: AgreedState | None = None
     ) -> None:
         self.operations, self.proxy, self.agreed = operations, proxy, agreed
-        self.thread = agreed.thread if agreed is not None else ThreadPoolExecutor(1, "state")
+        self.executor = agreed.executor if agreed is not None else ThreadPoolExecutor(1, "state")
 
     async def read(self, call: Callable[..., T], *args: Any) -> T:
         """Runs a call on the thread of the state; in a fleet the state here may be behind what is agreed."""
-        return await asyncio.get_running_loop().run_in_executor(self.thread, call, *args)
+        return await asyncio.get_running_loop().run_in_executor(self.executor, call, *args)
 
     async def read_latest(self, call: Callable[..., T], *args: Any) -> T:
         """Like `read`, but in a fleet only once everything agreed so far is in force here. ApiProblem."""
         if self.agreed is not None:
-            await self.agreed.newest()
+            await self.agreed.wait_until_current()
         return await self.read(call, *args)
 
-    async def change(self, call: Callable[..., Done[T]], *args: Any) -> T:
+    async def change(self, call: Callable[..., ChangeResult[T]], *args: Any) -> T:
         """Runs a change and returns its result once it is on disk and in force. It goes on if the client
         disconnects, since a change that is on disk must also be in force."""
         return await asyncio.shield(asyncio.ensure_future(self._change(call, *args)))
 
-    async def _change(self, call: Callable[..., Done[T]], *args: Any) -> T:
+    async def _change(self, call: Callable[..., ChangeResult[T]], *args: Any) -> T:
         if self.agreed is not None:
             return await self.agreed.change(call, *args)
         done = await self.read(call, *args)
@@ -105,13 +105,13 @@
             await self.proxy.apply(done.changes)
         return done.result
 
-    async def duty(self, actor: Actor, active: bool) -> m.ProxyView:
+    async def set_active(self, actor: Actor, active: bool) -> m.ProxyView:
         """Changes the phase of the proxy, then writes an audit event: in this order, as a full disk must not
         keep a proxy in service. ApiProblem 409: the process is about to end."""
-        before = m.ProxyView.model_validate(await self.proxy.proxy())
-        if not await self.proxy.duty(active):
+        before = m.ProxyView.model_validate(await self.proxy.proxy_status())
+        if not await self.proxy.set_active(active):
             raise ApiProblem(409, "conflict", "The process is to end; start another.")
-        after = m.ProxyView.model_validate(await self.proxy.proxy())
+        after = m.ProxyView.model_validate(await self.proxy.proxy_status())
         if after.phase != before.phase:
             await self._record_phase_change(actor, before.phase, after.phase)
         return after
@@ -154,7 +154,7 @@
     return Response(json.dumps(error.body), error.status, error.headers, PROBLEM_MEDIA_TYPE)
 
 
-def create(backend: Backend) -> FastAPI:
+def create_app(backend: Backend) -> FastAPI:
     """Creates the application; it has no state of its own."""
     app = FastAPI(
         title="notchflow administration",
@@ -171,7 +171,7 @@
     async def authenticate(
         credentials: Annotated[HTTPAuthorizationCredentials | None, Depends(bearer)],
     ) -> Actor:
-        return await backend.read(operations.actor, credentials.credentials if credentials else None)
+        return await backend.read(operations.authenticate, credentials.credentials if credentials else None)
 
     CurrentActor = Annotated[Actor, Depends(authenticate)]
 
@@ -189,7 +189,7 @@
         request_text: str,
         to_json: Callable[[Any], dict[str, Any]],
         secrets: tuple[str, ...],
-        operation: Callable[[], Done[Any]],
+        operation: Callable[[], ChangeResult[Any]],
     ) -> Response:
         body = await backend.change(
             operations.run_once, actor, key, request_text, to_json, secrets, operation
@@ -348,24 +348,24 @@
     @app.get("/v1/proxy", tags=["proxy"])
     async def read_proxy(actor: CurrentActor) -> m.ProxyView:
         operations.require_operator(actor)
-        return m.ProxyView.model_validate(await backend.proxy.proxy())
+        return m.ProxyView.model_validate(await backend.proxy.proxy_status())
 
     @app.post("/v1/proxy/standby", tags=["proxy"], responses=_problem_responses(409))
     async def stand_by(actor: CurrentActor) -> m.ProxyView:
         """Sends clients away: readiness says no, what still comes is served, connections end within 2 s."""
         operations.require_operator(actor)
-        return await asyncio.shield(asyncio.ensure_future(backend.duty(actor, active=False)))
+        return await asyncio.shield(asyncio.ensure_future(backend.set_active(actor, active=False)))
 
     @app.post("/v1/proxy/active", tags=["proxy"], responses=_problem_responses(409))
     async def back_to_work(actor: CurrentActor) -> m.ProxyView:
         operations.require_operator(actor)
-        return await asyncio.shield(asyncio.ensure_future(backend.duty(actor, active=True)))
+        return await asyncio.shield(asyncio.ensure_future(backend.set_active(actor, active=True)))
 
     @app.get("/v1/cluster", tags=["cluster"])
     async def read_cluster(actor: CurrentActor) -> m.ClusterView:
         """The fleet as this instance sees it; 404 where it is not a member of one."""
         operations.require_operator(actor)
-        found = await backend.proxy.cluster()
+        found = await backend.proxy.cluster_status()
         if found is None:
             raise ApiProblem(404, "not-found", "This instance is by itself: its file has no [cluster].")
         return m.ClusterView.model_validate(found)
@@ -375,7 +375,7 @@
     async def list_boxes(actor: CurrentActor) -> m.Boxes:
         """The boxes as this proxy knows them, draining ones too."""
         operations.require_operator(actor)
-        return m.Boxes(items=[m.BoxView.model_validate(b) for b in await backend.proxy.boxes()])
+        return m.Boxes(items=[m.BoxView.model_validate(b) for b in await backend.proxy.node_statuses()])
 
     @app.get("/v1/events", tags=["events"])
     async def list_events(
--- a/notchflow/admin/operations.py
+++ b/notchflow/admin/operations.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done(Generic[T]):
+class ChangeResult(Generic[T]):
     """The result of a committed change, and the values that the running proxy must apply."""
 
     result: T
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Defaults:
+class ApiDefaults:
     """Values of the operator file that the API needs: the request classes and the default limits."""
 
     classes: tuple[str, ...]
@@ -102,11 +102,11 @@
 class Operations:
     """The operations of the API; all run on one thread."""
 
-    def __init__(self, db: Database, defaults: Defaults, wall_clock: Callable[[], float] = time.time) -> None:
+    def __init__(self, db: Database, defaults: ApiDefaults, wall_clock: Callable[[], float] = time.time) -> None:
         self.db, self.defaults, self.wall_clock = db, defaults, wall_clock
 
     # -- authentication and authorization
-    def actor(self, token: str | None) -> Actor:
+    def authenticate(self, token: str | None) -> Actor:
         """Authenticates a bearer token. ApiProblem 401: it is missing, unknown, expired or revoked, or its
         tenant is gone."""
         challenge = {"WWW-Authenticate": 'Bearer realm="notchflow-admin"'}
@@ -147,8 +147,8 @@
         request_text: str,
         to_json: Callable[[T], dict[str, Any]],
         secrets: tuple[str, ...],
-        operation: Callable[[], Done[T]],
-    ) -> Done[dict[str, Any]]:
+        operation: Callable[[], ChangeResult[T]],
+    ) -> ChangeResult[dict[str, Any]]:
         """Runs the operation of a POST request, or returns the stored response (without secrets) to a repeat
         with the same Idempotency-Key. ApiProblem 422: the key was used for another request."""
         fingerprint = hashlib.sha256(request_text.encode()).hexdigest()
@@ -156,7 +156,7 @@
         if stored is not None:
             if stored.fingerprint != fingerprint:
                 raise ApiProblem(422, "invalid", "Idempotency-Key was used for another request.")
-            return Done(json.loads(stored.body))
+            return ChangeResult(json.loads(stored.body))
         with self.db.change():
             done = operation()
             body = to_json(done.result)
@@ -165,7 +165,7 @@
                 self.db.put_answer(
                     actor.id, key, self.wall_clock(), StoredAnswer(fingerprint, 201, json.dumps(public_body))
                 )
-        return Done(body, done.changes)
+        return ChangeResult(body, done.changes)
 
     # -- tenants
     def list_tenants(self, actor: Actor, after: str, limit: int, state: str | None) -> list[Tenant]:
@@ -175,7 +175,7 @@
         own = self.visible_tenant(actor, actor.tenant)
         return [own] if own.id > after and state in (None, own.state.value) else []
 
-    def create_tenant(self, actor: Actor, requested: m.TenantCreate) -> Done[Tenant]:
+    def create_tenant(self, actor: Actor, requested: m.TenantCreate) -> ChangeResult[Tenant]:
         """Creates a tenant; runs in the transaction of `run_once`. ApiProblem 409: the id is in use or once
         was."""
         now = self.wall_clock()
@@ -191,7 +191,7 @@
         )
         self.db.put_tenant(tenant)
         self._audit(actor, "tenant.create", tenant.id, tenant.id, None, _tenant_json(tenant))
-        return Done(tenant, (tenant,))
+        return ChangeResult(tenant, (tenant,))
 
     def _checked_routes(self, routes: list[RouteModel] | None) -> tuple[Any, ...] | None:
         if routes is None:
@@ -209,7 +209,7 @@
 
     def change_tenant(
         self, actor: Actor, tenant: str, if_match: str | None, action: str, update: Callable[[Tenant], Tenant]
-    ) -> Done[Tenant]:
+    ) -> ChangeResult[Tenant]:
         """Changes a tenant if `if_match` names its current version. ApiProblem 409, 412 or 428."""
         self.require_operator(actor)
         with self.db.change():
@@ -217,7 +217,7 @@
             self._check_if_match(before, if_match)
             after = update(before)
             if after == before:
-                return Done(before)
+                return ChangeResult(before)
             if after.state is not before.state and after.state not in TRANSITIONS[before.state]:
                 raise ApiProblem(
                     409,
@@ -228,11 +228,11 @@
                 raise ApiProblem(409, "conflict", f"A tenant that is {before.state.value} stays as it is.")
             return self._save_tenant(actor, action, before, after)
 
-    def _save_tenant(self, actor: Actor, action: str, before: Tenant, after: Tenant) -> Done[Tenant]:
+    def _save_tenant(self, actor: Actor, action: str, before: Tenant, after: Tenant) -> ChangeResult[Tenant]:
         after = replace(after, version=before.version + 1, changed_at=self.wall_clock())
         self.db.put_tenant(after)
         self._audit(actor, action, after.id, after.id, _tenant_json(before), _tenant_json(after))
-        return Done(after, (after,))
+        return ChangeResult(after, (after,))
 
     @staticmethod
     def _check_if_match(tenant: Tenant, if_match: str | None) -> None:
@@ -254,7 +254,7 @@
 
     def patch_tenant(
         self, actor: Actor, tenant: str, if_match: str | None, requested: m.TenantPatch
-    ) -> Done[Tenant]:
+    ) -> ChangeResult[Tenant]:
         """Changes the fields that the request sets."""
         given = requested.model_fields_set
 
@@ -272,13 +272,13 @@
 
         return self.change_tenant(actor, tenant, if_match, "tenant.change", update)
 
-    def set_limits(self, actor: Actor, tenant: str, if_match: str | None, limits: Limits) -> Done[Tenant]:
+    def set_limits(self, actor: Actor, tenant: str, if_match: str | None, limits: Limits) -> ChangeResult[Tenant]:
         """Sets the limits of a tenant."""
         return self.change_tenant(
             actor, tenant, if_match, "tenant.limits", lambda before: replace(before, limits=limits)
         )
 
-    def retire_tenant(self, actor: Actor, tenant: str, if_match: str | None) -> Done[Tenant]:
+    def retire_tenant(self, actor: Actor, tenant: str, if_match: str | None) -> ChangeResult[Tenant]:
         """Starts the retirement of a tenant: its open requests end, then `finish_retirement` follows."""
         return self.change_tenant(
             actor,
@@ -288,13 +288,13 @@
             lambda before: replace(before, state=TenantState.RETIRING),
         )
 
-    def finish_retirement(self, tenant: str) -> Done[Tenant | None]:
+    def finish_retirement(self, tenant: str) -> ChangeResult[Tenant | None]:
         """Marks a retiring tenant as gone and revokes its keys, once the proxy has no open requests of it.
         The result is None if the tenant is not retiring."""
         with self.db.change():
             before = self.db.tenant(tenant)
             if before is None or before.state is not TenantState.RETIRING:
-                return Done(None)
+                return ChangeResult(None)
             now = self.wall_clock()
             after = retired(before, now)
             self.db.put_tenant(after)
@@ -309,7 +309,7 @@
                 _tenant_json(before),
                 _tenant_json(after),
             )
-            return Done(after, (after,))
+            return ChangeResult(after, (after,))
 
     # -- keys
     def list_keys(
@@ -318,7 +318,7 @@
         """Keys of a tenant, each with the time of its last use (s since the epoch; None: never)."""
         return self.db.keys(self.visible_tenant(actor, tenant).id, after, limit)
 
-    def issue_key(self, actor: Actor, tenant: str, requested: m.KeyCreate) -> Done[tuple[ApiKey, str]]:
+    def issue_key(self, actor: Actor, tenant: str, requested: m.KeyCreate) -> ChangeResult[tuple[ApiKey, str]]:
         """Creates a key; runs in the transaction of `run_once`. Returns the key and its secret text.
         ApiProblem 409: the tenant is retiring or gone, or has `MAX_KEYS` keys already."""
         owner, now = self.visible_tenant(actor, tenant), self.wall_clock()
@@ -339,7 +339,7 @@
         self._audit(
             actor, "key.issue", tenant, key.id, None, {"label": key.label, "expires_at": key.expires_at}
         )
-        return Done((key, minted.token), (key,))
+        return ChangeResult((key, minted.token), (key,))
 
     @staticmethod
     def _expiry_seconds(expires_at: Any, now: float) -> float | None:
@@ -353,7 +353,7 @@
             raise ApiProblem(422, "invalid", "expires_at must lie ahead.")
         return seconds
 
-    def revoke_key(self, actor: Actor, tenant: str, key: str) -> Done[None]:
+    def revoke_key(self, actor: Actor, tenant: str, key: str) -> ChangeResult[None]:
         """Revokes a key of a tenant; repeating it has no further effect."""
         with self.db.change():
             self.visible_tenant(actor, tenant)
@@ -361,11 +361,11 @@
             if found is None or found.tenant != tenant:
                 raise ApiProblem(404, "not-found", "There is no such key.")
             if found.revoked_at is not None:
-                return Done(None, (found,))
+                return ChangeResult(None, (found,))
             after = replace(found, revoked_at=self.wall_clock())
             self.db.put_key(after)
             self._audit(actor, "key.revoke", tenant, key, {"label": found.label}, None)
-            return Done(None, (after,))
+            return ChangeResult(None, (after,))
 
     # -- tokens
     def list_tokens(self, actor: Actor, after: str, limit: int) -> list[Token]:
@@ -373,7 +373,7 @@
         self.require_operator(actor)
         return self.db.tokens(after, limit)
 
-    def issue_token(self, actor: Actor, requested: m.TokenCreate) -> Done[tuple[Token, str]]:
+    def issue_token(self, actor: Actor, requested: m.TokenCreate) -> ChangeResult[tuple[Token, str]]:
         """Creates a token for this API; runs in the transaction of `run_once`. Returns the token and its
         secret text. ApiProblem 404: there is no such tenant."""
         self.require_operator(actor)
@@ -392,9 +392,9 @@
         )
         self.db.put_token(token)
         self._audit(actor, "token.issue", requested.tenant, token.id, None, {"label": token.label})
-        return Done((token, minted.token))
+        return ChangeResult((token, minted.token))
 
-    def revoke_token(self, actor: Actor, token: str) -> Done[None]:
+    def revoke_token(self, actor: Actor, token: str) -> ChangeResult[None]:
         """Revokes a token. ApiProblem 409: it is the token of this request."""
         self.require_operator(actor)
         with self.db.change():
@@ -406,9 +406,9 @@
                     raise ApiProblem(409, "conflict", "A token cannot revoke itself; use another one.")
                 self.db.put_token(replace(found, revoked_at=self.wall_clock()))
                 self._audit(actor, "token.revoke", found.tenant, token, {"label": found.label}, None)
-            return Done(None)
+            return ChangeResult(None)
 
-    def first_token(self) -> str | None:
+    def ensure_operator_token(self) -> str | None:
         """Creates an operator's token if none is usable, since otherwise nobody could call the API. Returns
         its secret text, or None. For a single instance, or before a fleet has agreed on its first state."""
         now = self.wall_clock()
@@ -418,11 +418,11 @@
             return self.issue_token(Actor("service", None), m.TokenCreate(label="first")).result[1]
 
     # -- the running proxy
-    def record_phase_change(self, actor: Actor, before: str, after: str) -> Done[None]:
+    def record_phase_change(self, actor: Actor, before: str, after: str) -> ChangeResult[None]:
         """Writes to the audit log that an operator has changed the phase of the proxy."""
         with self.db.change():
             self._audit(actor, f"proxy.{after}", None, "proxy", {"phase": before}, {"phase": after})
-            return Done(None)
+            return ChangeResult(None)
 
     # -- the audit log
     def list_events(self, actor: Actor, after: int, limit: int, tenant: str | None) -> list[AuditEvent]:
--- a/notchflow/admin/server.py
+++ b/notchflow/admin/server.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class AdminLimits:
     """What a client may use: bytes of a request head and of a body, seconds to receive each of them, requests
     per second (by address, before its token is checked), and connections of all clients together."""
 
@@ -53,8 +53,8 @@
 class RequestLimiter:
     """ASGI middleware that enforces the limits on each request before the application sees it."""
 
-    def __init__(self, app: App, bounds: Bounds, clock: Callable[[], float] = time.monotonic) -> None:
-        self.app, self.bounds, self.clock = app, bounds, clock
+    def __init__(self, app: App, limits: AdminLimits, clock: Callable[[], float] = time.monotonic) -> None:
+        self.app, self.limits, self.clock = app, limits, clock
         self.buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -81,7 +81,7 @@
             await send(message)
 
         try:
-            async with asyncio.timeout(self.bounds.timeout_s):
+            async with asyncio.timeout(self.limits.timeout_s):
                 body = await self._read_body(scope, receive)
             # No timeout from here on: a change that has begun runs to its end and is answered.
             await self.app(scope, _replay(body, receive), tracking_send)
@@ -90,7 +90,7 @@
                 await _send_problem(
                     send,
                     ApiProblem(
-                        408, "too-slow", f"A request has {self.bounds.timeout_s:g} s to come.", CLOSE_HEADER
+                        408, "too-slow", f"A request has {self.limits.timeout_s:g} s to come.", CLOSE_HEADER
                     ),
                 )
         except ApiProblem as error:
@@ -99,15 +99,15 @@
             pass  # the client disconnected while it sent the body
 
     def _retry_after_s(self, address: str) -> float:
-        now, bounds = self.clock(), self.bounds
-        bucket = self.buckets.pop(address, None) or TokenBucket(bounds.burst, now)
+        now, limits = self.clock(), self.limits
+        bucket = self.buckets.pop(address, None) or TokenBucket(limits.burst, now)
         self.buckets[address] = bucket
         if len(self.buckets) > MAX_BUCKETS:
             self.buckets.popitem(last=False)
-        return bucket.take(now, bounds.rate_per_s, bounds.burst)
+        return bucket.take(now, limits.rate_per_s, limits.burst)
 
     async def _read_body(self, scope: Scope, receive: Receive) -> bytes:
-        limit = self.bounds.body_max
+        limit = self.limits.body_max
         content_length = next((v for k, v in scope["headers"] if k == b"content-length"), b"0")
         parts: list[bytes] = []
         size = int(content_length) if content_length.isdigit() and int(content_length) > limit else 0
@@ -146,7 +146,7 @@
     await send({"type": "http.response.body", "body": json.dumps(error.body).encode()})
 
 
-def protocol_class(bounds: Bounds) -> type[H11Protocol]:
+def protocol_class(limits: AdminLimits) -> type[H11Protocol]:
     """uvicorn's protocol with a timeout for the request head, which uvicorn lacks: a client that sends its
     head very slowly could hold a connection forever."""
 
@@ -155,7 +155,7 @@
 
         def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
             super().connection_made(transport)
-            if len(self.connections) > bounds.connections:
+            if len(self.connections) > limits.connections:
                 transport.close()  # closed without a response: uvicorn's own is not in the OpenAPI document
                 return
             self._start_head_timer()
@@ -170,7 +170,7 @@
 
         def _start_head_timer(self) -> None:
             if self.head_timer is None:
-                self.head_timer = self.loop.call_later(bounds.timeout_s, self._on_head_timeout)
+                self.head_timer = self.loop.call_later(limits.timeout_s, self._on_head_timeout)
 
         def _on_head_timeout(self) -> None:
             self.head_timer = None
@@ -190,8 +190,8 @@
     """The API on its listener. `start` returns once its loop runs, `stop` once its thread has ended or
     `SHUTDOWN_TIMEOUT_S` and 2 s have passed."""
 
-    def __init__(self, app: App, address: tuple[str, int], bounds: Bounds) -> None:
-        self.bounded = RequestLimiter(app, bounds)
+    def __init__(self, app: App, address: tuple[str, int], limits: AdminLimits) -> None:
+        self.limiter = RequestLimiter(app, limits)
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -202,8 +202,8 @@
             raise
         self.port = int(self.socket.getsockname()[1])
         config = uvicorn.Config(
-            self.bounded,
-            http=protocol_class(bounds),
+            self.limiter,
+            http=protocol_class(limits),
             ws="none",
             lifespan="off",
             loop="asyncio",
@@ -211,7 +211,7 @@
             log_config=None,
             server_header=False,
             proxy_headers=False,
-            h11_max_incomplete_event_size=bounds.head_max,
+            h11_max_incomplete_event_size=limits.head_max,
             timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
             timeout_graceful_shutdown=int(SHUTDOWN_TIMEOUT_S),
         )
--- a/notchflow/hosting/bridge.py
+++ b/notchflow/hosting/bridge.py
@@ -63,20 +63,20 @@
 
         return await self.run_on_loop(read)
 
-    async def boxes(self) -> list[dict[str, Any]]:
+    async def node_statuses(self) -> list[dict[str, Any]]:
         """The nodes and their states."""
         return await self.run_on_loop(self.host.node_statuses)
 
-    async def proxy(self) -> dict[str, Any]:
+    async def proxy_status(self) -> dict[str, Any]:
         """The proxy's state."""
         return await self.run_on_loop(self.host.proxy_status)
 
-    async def cluster(self) -> dict[str, Any] | None:
+    async def cluster_status(self) -> dict[str, Any] | None:
         """The fleet as this instance sees it; None without a fleet."""
         membership = self.host.membership
         return await self.run_on_loop(membership.status) if membership is not None else None
 
-    async def duty(self, active: bool) -> bool:
+    async def set_active(self, active: bool) -> bool:
         """Makes the proxy active or a standby; returns whether it serves requests."""
         return await self.run_on_loop(self.host.activate if active else self.host.enter_standby)
 
--- a/notchflow/hosting/derived.py
+++ b/notchflow/hosting/derived.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from notchflow.admin.operations import Defaults
-from notchflow.admin.server import Bounds
+from notchflow.admin.operations import ApiDefaults
+from notchflow.admin.server import AdminLimits
 from notchflow.effects.tracker import IdempotencyRule
 from notchflow.hosting.file import OperatorFile
 from notchflow.hosting.schema import EFFECTS, AdminModel
@@ -21,9 +21,9 @@
     )
 
 
-def admin_bounds(admin: AdminModel) -> Bounds:
+def admin_bounds(admin: AdminModel) -> AdminLimits:
     """Limits of the administration listener."""
-    return Bounds(
+    return AdminLimits(
         admin.head_max, admin.body_max, admin.timeout_s, admin.rate_per_s, admin.burst, admin.connections
     )
 
@@ -39,6 +39,6 @@
     return rules
 
 
-def api_defaults(file: OperatorFile) -> Defaults:
+def api_defaults(file: OperatorFile) -> ApiDefaults:
     """Known classes and default limits for the administration API."""
-    return Defaults(tuple(c.name for c in file.classes), file.tenants.limits.to_domain())
+    return ApiDefaults(tuple(c.name for c in file.classes), file.tenants.limits.to_domain())
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -20,7 +20,7 @@
 from random import Random
 from typing import Any, Final, TypeVar
 
-from notchflow.admin.operations import ApiProblem, Change, Done
+from notchflow.admin.operations import ApiProblem, Change, ChangeResult
 from notchflow.cluster.agreement.driver import RaftDriver
 from notchflow.cluster.agreement.raft import Raft
 from notchflow.cluster.agreement.replica import HardState, RaftSettings, Role, Snapshot
@@ -71,7 +71,7 @@
         not vote until it has caught up. Raises StoreError, ManifestError, StoreLockedError or OSError."""
         self.loop, self.transport, self.db, self.note = transport.loop, transport, db, note
         self.state = ReplicatedState(db)
-        self.thread = ThreadPoolExecutor(1, "state")
+        self.executor = ThreadPoolExecutor(1, "state")
         self.on_applied: Callable[[ApplyResult, list[Change]], None] = lambda applied, changes: None
         engine = Engine(RealFiles(folder / FOLDER), store_clock(), EngineOptions(SEGMENT_BYTES))
         self.committer = Committer(engine, self.loop.call_soon_threadsafe)
@@ -123,7 +123,7 @@
         """Stops, and waits for the state's thread and the store."""
         self.closed = True
         self.driver.stop()
-        self.thread.shutdown()
+        self.executor.shutdown()
         self.committer.stop()
 
     # -- requests of clients
@@ -156,7 +156,7 @@
                 self.loop.call_soon_threadsafe(done, result)
 
         try:
-            self.thread.submit(run)
+            self.executor.submit(run)
         except RuntimeError:  # the thread has been shut down: the service is stopping
             pass
 
@@ -252,7 +252,7 @@
         """Proposes one stage after the other. A stage may be lost with the leadership, so that each wait
         ends; the whole is retried as long as this instance leads and no state is complete."""
         try:
-            stages = await self.loop.run_in_executor(self.thread, self.state.export_stages)
+            stages = await self.loop.run_in_executor(self.executor, self.state.export_stages)
             for stage in stages:
                 base = self.state.version
                 command = Command(secrets.token_hex(8), base, (), stage)
@@ -329,7 +329,7 @@
             self.driver.finish_proposal(pending.request_id)
 
     # -- the administration (on the loop of its own thread)
-    async def newest(self) -> None:
+    async def wait_until_current(self) -> None:
         """Returns once everything committed before the call is applied here. Raises ApiProblem."""
         future: concurrent.futures.Future[int] = concurrent.futures.Future()
         self.loop.call_soon_threadsafe(self._start_read, future)
@@ -338,13 +338,13 @@
         except TimeoutError:
             raise no_majority() from None
 
-    async def change(self, call: Callable[..., Done[T]], *args: Any) -> T:
+    async def change(self, call: Callable[..., ChangeResult[T]], *args: Any) -> T:
         """Makes a change. Returns once a majority has stored it and it is applied here. Raises ApiProblem."""
         command = secrets.token_hex(8)
         for _ in range(MAX_CHANGE_ATTEMPTS):
-            await self.newest()
+            await self.wait_until_current()
             done, base, writes = await asyncio.get_running_loop().run_in_executor(
-                self.thread, self._run_trial, call, args
+                self.executor, self._run_trial, call, args
             )
             if not writes:
                 return done.result
@@ -359,7 +359,7 @@
             {"Retry-After": "1"},
         )
 
-    def _run_trial(self, call: Callable[..., Done[T]], args: Sequence[Any]) -> tuple[Done[T], int, Any]:
+    def _run_trial(self, call: Callable[..., ChangeResult[T]], args: Sequence[Any]) -> tuple[ChangeResult[T], int, Any]:
         """Computes a change without keeping it. Returns its result, the version it builds on, its writes."""
         with self.db.dry_run() as writes:
             done = call(*args)
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from notchflow.admin.api import Backend, create
+from notchflow.admin.api import Backend, create_app
 from notchflow.admin.operations import ApiProblem, Change, Operations
 from notchflow.admin.server import AdminServer
 from notchflow.cluster.identity import IdentityError
@@ -78,7 +78,7 @@
             self.bridge = LoopBridge(loop, self.directory, self.host)
             self.backend = Backend(self.operations, self.bridge, self._fleet_rules())
             self.admin = AdminServer(
-                create(self.backend), parse_address(file.admin.address), admin_bounds(file.admin)
+                create_app(self.backend), parse_address(file.admin.address), admin_bounds(file.admin)
             )
         except BaseException:
             self.db.close()
@@ -135,7 +135,7 @@
         path = self.file.state / TOKEN_FILE
         if path.exists():
             try:
-                await self.backend.read(self.operations.actor, path.read_text().strip())
+                await self.backend.read(self.operations.authenticate, path.read_text().strip())
             except ApiProblem:
                 path.unlink(missing_ok=True)
                 log.warning(
@@ -177,7 +177,7 @@
         if self.membership is not None:
             self.membership.bind()
         fleet_rules = self._fleet_rules()
-        token = self.operations.first_token() if fleet_rules is None or not fleet_rules.state.initialized else None
+        token = self.operations.ensure_operator_token() if fleet_rules is None or not fleet_rules.state.initialized else None
         if token is not None:
             _write_secret(self.file.state / TOKEN_FILE, token)
             log.info("wrote an operator token to %s", self.file.state / TOKEN_FILE)
@@ -273,8 +273,8 @@
         self.admission.settings = admission_settings(file)
         if self.host.keeper is not None:
             self.host.keeper.rules = effect_rules(replace(file, effects=self.file.effects))
-        self.admin.bounded.bounds = replace(
-            self.admin.bounded.bounds,
+        self.admin.limiter.limits = replace(
+            self.admin.limiter.limits,
             body_max=file.admin.body_max,
             rate_per_s=file.admin.rate_per_s,
             burst=file.admin.burst,
@@ -322,7 +322,7 @@
         if self.flush_timer is not None:
             self.flush_timer.cancel()
         self.admin.stop()
-        self.backend.thread.shutdown()
+        self.backend.executor.shutdown()
         used = self.directory.take_key_uses()
         if used:
             self.db.record_key_use(used)
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -22,8 +22,8 @@
     status_code_conformance,
 )
 
-from notchflow.admin.api import Backend, create
-from notchflow.admin.operations import Change, Defaults, Operations
+from notchflow.admin.api import Backend, create_app
+from notchflow.admin.operations import Change, ApiDefaults, Operations
 from notchflow.state.database import Database
 from notchflow.tenancy.model import Limits, TenantState
 
@@ -44,7 +44,7 @@
     async def usage(self, tenant: str) -> dict[str, Any]:
         return {"in_hand": 0, "bytes_held": 0, "asked": 3, "served": 2, "failed": 0, "refused": {"rate": 1}}
 
-    async def proxy(self) -> dict[str, Any]:
+    async def proxy_status(self) -> dict[str, Any]:
         return {
             "phase": self.phase,
             "serving": self.phase != "leaving",
@@ -54,7 +54,7 @@
             "bytes_held": 0,
         }
 
-    async def cluster(self) -> dict[str, Any] | None:
+    async def cluster_status(self) -> dict[str, Any] | None:
         member = {
             "name": "p1",
             "incarnation": "1.a",
@@ -77,12 +77,12 @@
             "view": "0",
         }
 
-    async def duty(self, active: bool) -> bool:
+    async def set_active(self, active: bool) -> bool:
         if self.phase != "leaving":
             self.phase = "active" if active else "standby"
         return self.phase != "leaving"
 
-    async def boxes(self) -> list[dict[str, Any]]:
+    async def node_statuses(self) -> list[dict[str, Any]]:
         return [
             {"id": "s-1", "address": "127.0.0.1:1", "state": "draining", "in_flight": 1, "changed_at": 5.0}
         ]
@@ -94,11 +94,11 @@
     def __init__(self, folder: Path) -> None:
         self.db = Database(folder)
         self.now = 1_000_000_000.0
-        self.operations = Operations(self.db, Defaults(CLASSES, Limits()), lambda: self.now)
+        self.operations = Operations(self.db, ApiDefaults(CLASSES, Limits()), lambda: self.now)
         self.proxy = FakeProxy(self.operations)
         self.backend = Backend(self.operations, self.proxy)
-        self.app = create(self.backend)
-        token = self.operations.first_token()
+        self.app = create_app(self.backend)
+        token = self.operations.ensure_operator_token()
         assert token is not None
         self.token = token
 
@@ -118,7 +118,7 @@
         return str(response.json()["token"])
 
     def close(self) -> None:
-        self.backend.thread.shutdown()
+        self.backend.executor.shutdown()
         self.db.close()
 
 
@@ -419,9 +419,9 @@
         second = (await api.request("POST", "/v1/tokens", {"expires_at": "2001-09-10T00:00:00Z"})).json()
         assert (await api.request("DELETE", f"/v1/tokens/{own_id}", token=second["token"])).status_code == 204
         assert (await api.request("GET", "/v1/tokens")).status_code == 401
-        assert api.operations.first_token() is None
+        assert api.operations.ensure_operator_token() is None
         api.now += 7 * 24 * 3600
-        assert api.operations.first_token() is not None
+        assert api.operations.ensure_operator_token() is not None
         expired = await api.request(
             "POST", "/v1/tokens", {"expires_at": "2001-09-10T00:00:00Z"}, second["token"]
         )
