--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -24,8 +24,8 @@
 
 from notchflow.cluster.histories import merge
 from notchflow.hosting.fleet import Fleet
-from standins.box import Box, Work
-from standins.discovery import Registry, member
+from standins.node import StandInNode, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
 
 AGREED_RULES: Final = 'rules = "fleet"'
 
@@ -37,11 +37,11 @@
         self.folder, self.count, self.tenants = folder, count, [f"tenant-{n}" for n in range(tenants)]
 
     async def __aenter__(self) -> RunningFleet:
-        self.registry = Registry()
+        self.registry = StandInDiscovery()
         await self.registry.start()
-        self.node = Box("box-1", Work(0.002, 4, 128))
+        self.node = StandInNode("box-1", NodeProfile(0.002, 4, 128))
         await self.node.start()
-        await self.registry.put(member(self.node.name, self.node.address))
+        await self.registry.put(node_entry(self.node.name, self.node.address))
         self.fleet = Fleet(self.folder, self.count, self.registry.address, self.tenants, AGREED_RULES)
         self.fleet.prepare()
         self.client = httpx.AsyncClient(
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -287,7 +287,7 @@
             shares.append(
                 (len(served_at) - REAL.burst) / ((served_at[-1] - served_at[0]) / 1e9) / REAL.rate_per_s
             )
-            excess += [str(violation) for violation in outcome.broken]
+            excess += [str(violation) for violation in outcome.violations]
         name = "limits of each" if cluster_settings else "one budget"
         print(
             f"real: {name}: {len(shares)} drawn schedules, {min(shares):.2f} to {max(shares):.2f} of the "
@@ -312,5 +312,5 @@
 
 
 if __name__ == "__main__":
-    assert checks.SLACK == 1.05
+    assert checks.RATE_LIMIT_SLACK == 1.05
     sys.exit(main())
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -17,7 +17,7 @@
 from contextlib import contextmanager
 
 from benchmarks.rig import LoadGenerators, cpu_s, platform_proxy, run_nodes
-from standins.box import Work
+from standins.node import NodeProfile
 from standins.ports import free_ports
 
 MAX_SLOWEST_MS = 500.0
@@ -106,7 +106,7 @@
     (console,) = free_ports(1)
     results: dict[str, tuple[list[float], int]] = {}
     with (
-        run_nodes(6, Work(), processes=2) as (discovery, fleet),
+        run_nodes(6, NodeProfile(), processes=2) as (discovery, fleet),
         platform_proxy(discovery, fleet, console=console) as (port, process),
         LoadGenerators(3) as loads,
     ):
--- a/benchmarks/effects.py
+++ b/benchmarks/effects.py
@@ -17,8 +17,8 @@
 
 from benchmarks.rig import ROOT, run_nodes
 from benchmarks.tenancy import run_hosted_proxy, run_paced_loads
-from standins.box import Work
-from standins.load import Draw, Tally
+from standins.node import NodeProfile
+from standins.load import RequestSource, Tally
 
 RATE_PER_S = 120.0
 MAX_OTHER_COST_MS = 0.25  # increase of the median of keyed writes and reads, beyond noise
@@ -69,7 +69,7 @@
 EFFECTS = "[effects]\nunsafe_s = 3600.0\n"
 
 
-def create_draw(kind: str, token: str, key_prefix: str) -> Draw:
+def create_draw(kind: str, token: str, key_prefix: str) -> RequestSource:
     """Returns a function that draws requests of one kind; payments and writes have a new key each."""
     numbers = itertools.count()
     method, path = {
@@ -102,7 +102,7 @@
     worst_p99s: dict[tuple[str, str], float] = {}
     not_served = 0
     with ExitStack() as stack:
-        discovery, _ = stack.enter_context(run_nodes(3, Work(0.002, 8)))
+        discovery, _ = stack.enter_context(run_nodes(3, NodeProfile(0.002, 8)))
         proxies = {  # the state is within the checkout, not on a temporary file system
             name: stack.enter_context(
                 run_hosted_proxy(discovery, ["only-one"], config=CONFIG + section, parent=ROOT)
@@ -115,7 +115,7 @@
                     requests = create_draw(kind, tokens["only-one"], f"{round_}-{name}-{kind}")
                     tally: Tally
                     (tally,) = uvloop.run(run_paced_loads(port, (RATE_PER_S, requests), seconds=seconds))
-                    not_served += tally.lost + tally.asked(kind) - tally.served
+                    not_served += tally.lost + tally.answer_count(kind) - tally.served
                     median = tally.percentile(0.5)
                     best_medians[name, kind] = min(best_medians.get((name, kind), median), median)
                     worst_p99s[name, kind] = max(worst_p99s.get((name, kind), 0.0), tally.percentile(0.99))
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -28,7 +28,7 @@
 
 from benchmarks import inner
 from benchmarks.rig import LoadGenerators, cpu_s, forwarder, memory_mb, platform_proxy, read_stalls, run_nodes
-from standins.box import Work
+from standins.node import NodeProfile
 
 MIN_RATIO = 0.40  # of the forwarder's throughput, at 32 connections and 0.5 KiB
 MAX_P99_RATIO = 5.0  # times the forwarder's 99th percentile, same load
@@ -104,7 +104,7 @@
             after = cpu_s(peer.process) if peer.process is not None else 0.0
             answered = sum(sum(c.values()) for c in tally.statuses.values())
             measured = series[peer.name]
-            measured.requests_per_s.append(answered / tally.span_s)
+            measured.requests_per_s.append(answered / tally.duration_s)
             measured.p50.append(tally.percentile(0.5))
             measured.p99.append(tally.percentile(0.99))
             measured.served.append(tally.served / max(answered, 1))
@@ -113,7 +113,7 @@
 
 
 @contextmanager
-def run_peers(count: int, work: Work) -> Iterator[list[Peer]]:
+def run_peers(count: int, work: NodeProfile) -> Iterator[list[Peer]]:
     """Runs `count` nodes, a proxy and a forwarder; yields the proxy, the forwarder and the nodes as peers."""
     with ExitStack() as stack:
         discovery, fleet = stack.enter_context(run_nodes(count, work, processes=3))
@@ -144,7 +144,7 @@
     """Measures all combinations of connections and answer sizes."""
     rows: list[Row] = []
     for body in (512, 32 << 10):
-        with run_peers(10, Work(body=body)) as peers:
+        with run_peers(10, NodeProfile(body_bytes=body)) as peers:
             for connections in (1, 32, 512):
                 label = f"c{connections}_b{body}"
                 rows += compare_peers(label, measure_peers(loads, peers, scale, connections))
@@ -153,7 +153,7 @@
 
 def measure_failing(loads: LoadGenerators, scale: Scale) -> list[Row]:
     """Measures all peers with nodes that reject 30% of the attempts."""
-    with run_peers(10, Work(failing=0.3)) as peers:
+    with run_peers(10, NodeProfile(reject_fraction=0.3)) as peers:
         series = measure_peers(loads, peers, scale, 32)
     rows = compare_peers("failing30", series)
     rows += [
@@ -168,7 +168,7 @@
     with ExitStack() as stack:
         peers = []
         for count in (10, 1_000):
-            discovery, fleet = stack.enter_context(run_nodes(count, Work(), processes=2))
+            discovery, fleet = stack.enter_context(run_nodes(count, NodeProfile(), processes=2))
             port, process = stack.enter_context(platform_proxy(discovery, fleet))
             peers.append(Peer(f"boxes{count}", [port], process))
         series = measure_peers(loads, peers, scale, 32)
@@ -189,7 +189,7 @@
     """Measures a proxy by the number of distinct keys."""
     rows: list[Row] = []
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(run_nodes(10, Work(), processes=3))
+        discovery, fleet = stack.enter_context(run_nodes(10, NodeProfile(), processes=3))
         port, process = stack.enter_context(platform_proxy(discovery, fleet))
         for keys in (1, KEYS, 100_000):
             measured = measure_peers(loads, [Peer("proxy", [port], process)], scale, 32, keys)["proxy"]
@@ -202,12 +202,12 @@
     """Measures the proxy at 80% of its capacity, measured just before, and the forwarder at the same rate."""
     rows: list[Row] = []
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(run_nodes(10, Work(), processes=3))
+        discovery, fleet = stack.enter_context(run_nodes(10, NodeProfile(), processes=3))
         port, process = stack.enter_context(platform_proxy(discovery, fleet, watch_stalls=True))
         bare_port, bare = stack.enter_context(forwarder(fleet, watch_stalls=True))
         loads.run([port], 32, 1.0, KEYS)
         capacity = statistics.median(
-            t.served / t.span_s for t in (loads.run([port], 32, scale.round_s, KEYS) for _ in range(3))
+            t.served / t.duration_s for t in (loads.run([port], 32, scale.round_s, KEYS) for _ in range(3))
         )
         rate = CAPACITY_SHARE * capacity
         rows.append(("steady_rate", rate, "requests/s"))
--- a/benchmarks/inner.py
+++ b/benchmarks/inner.py
@@ -23,7 +23,7 @@
 from notchflow.net.connection import Connection
 from notchflow.net.discovery import decode_node_list
 from notchflow.net.host import Host
-from standins.discovery import member
+from standins.discovery import node_entry
 
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Hit: hit\r\nX-Box: s-1\r\nContent-Length: 512\r\n\r\n" + b"x" * 512
 BATCH_SIZE = 1_000
@@ -75,7 +75,7 @@
             {
                 "revision": 1,
                 "complete": True,
-                "members": [member(f"s-{i}", f"127.0.0.1:{10_000 + i}") for i in range(nodes)],
+                "members": [node_entry(f"s-{i}", f"127.0.0.1:{10_000 + i}") for i in range(nodes)],
             }
         )
         settings = Settings(classes=(RequestClass("read", 300, 1000),), limits=Limits(max_attempts=3))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -33,9 +33,9 @@
 from notchflow.faults.schedule import Schedule
 from notchflow.hosting.fleet import Fleet as ProcessFleet
 from notchflow.tenancy.model import Limits
-from standins.box import Box, Work
-from standins.discovery import Registry, member
-from standins.load import Paced
+from standins.node import StandInNode, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
+from standins.load import OpenLoop
 
 FULL: Final = Settings()
 PLAIN: Final = replace(FULL, confirmations=0, suspicion_max_factor=1.0, local_health_max=1, stall_ms=1e12)
@@ -222,21 +222,21 @@
         for n in range(count)
     ]
     outcome = run_schedule(create_schedule(8, interval_s * count + 2.0, faults), 25.0)
-    durations_ms = [ms for detected_ms, _ in checks.deaths(outcome.lines) for ms in detected_ms.values()]
+    durations_ms = [ms for detected_ms, _ in checks.detection_delays(outcome.lines) for ms in detected_ms.values()]
     worst = [
         max((ms for ms in detected_ms.values() if ms is not None), default=float("inf"))
-        for detected_ms, _ in checks.deaths(outcome.lines)
+        for detected_ms, _ in checks.detection_delays(outcome.lines)
     ]
     print_spread("SIGKILL to the last survivor's verdict, 8 instances", worst)
     print(
-        f"the formula says {outcome.bounds.detection_ms:.0f} ms; requests {outcome.asked}, rules broken "
-        f"{[str(b) for b in outcome.broken]}"
+        f"the formula says {outcome.bounds.detection_ms:.0f} ms; requests {outcome.request_count}, rules broken "
+        f"{[str(b) for b in outcome.violations]}"
     )
     failures = [] if None not in durations_ms else ["a survivor never held the killed one dead"]
     return (
         failures
         + (["worst detection over 3 s"] if max(worst) > 3_000 else [])
-        + [str(b) for b in outcome.broken]
+        + [str(b) for b in outcome.violations]
     )
 
 
@@ -257,7 +257,7 @@
                 break
         worst.append(max(detected_ms.values()) if len(detected_ms) == 7 else float("inf"))
     print_spread("SIGTERM to the last of the others knowing, 8 instances", worst)
-    return (["a leave known after 0.5 s"] if max(worst) > 500 else []) + [str(b) for b in outcome.broken]
+    return (["a leave known after 0.5 s"] if max(worst) > 500 else []) + [str(b) for b in outcome.violations]
 
 
 def calm(quick: bool) -> list[str]:
@@ -277,14 +277,14 @@
         )
         at += rng.uniform(0.2, 1.0)
     outcome = run_schedule(create_schedule(8, seconds, faults), 25.0)
-    false_deaths = checks.nobody_buried_alive(outcome.lines)
+    false_deaths = checks.check_no_false_deaths(outcome.lines)
     suspected = sum(line["what"] == "suspect" for line in outcome.lines)
     print(
         f"calm: {seconds:.0f} s of 5% loss and {len(faults) - 1} pauses up to 300 ms, 8 instances: "
-        f"{len(false_deaths)} living members held dead, {suspected} suspicions, {outcome.asked} requests, "
-        f"broken {[str(b) for b in outcome.broken]}"
+        f"{len(false_deaths)} living members held dead, {suspected} suspicions, {outcome.request_count} requests, "
+        f"broken {[str(b) for b in outcome.violations]}"
     )
-    return [str(b) for b in [*false_deaths, *outcome.broken]]
+    return [str(b) for b in [*false_deaths, *outcome.violations]]
 
 
 def heals(quick: bool) -> list[str]:
@@ -302,8 +302,8 @@
         outcome = run_schedule(
             create_schedule(8, 6.0, [partition | {"at_s": 0.5, "for_s": 5.5}], number), 10.0
         )
-        durations_ms.append(outcome.agreed_ms if outcome.agreed_ms is not None else float("inf"))
-        failures += [str(b) for b in outcome.broken]
+        durations_ms.append(outcome.convergence_ms if outcome.convergence_ms is not None else float("inf"))
+        failures += [str(b) for b in outcome.violations]
     print_spread("heal of a partition to equal views, 8 instances", durations_ms)
     print(f"the formula says {FULL.heal_bound_ms(8):.0f} ms")
     return failures + (["views equal after more than 3 s"] if max(durations_ms) > 3_000 else [])
@@ -341,11 +341,11 @@
     Returns the processor time per request in microseconds, its idle use included, and the idle use in
     milliseconds per second.
     """
-    registry = Registry()
+    registry = StandInDiscovery()
     await registry.start()
-    node = Box("box-1", Work(0.0, 8, 128))
+    node = StandInNode("box-1", NodeProfile(0.0, 8, 128))
     await node.start()
-    await registry.put(member(node.name, node.address))
+    await registry.put(node_entry(node.name, node.address))
     fleet = ProcessFleet(
         folder, instances, registry.address, ["alfa"], limits=Limits(1e5, 1e5, 10_000, 1 << 30)
     )
@@ -366,9 +366,9 @@
     before = read_cpu_s(first.process.pid)
     await asyncio.sleep(seconds)
     idle = (read_cpu_s(first.process.pid) - before) / seconds
-    await Paced(first.ports.clients, HOT_RATE, draw).run(2.0)
+    await OpenLoop(first.ports.clients, HOT_RATE, draw).run(2.0)
     before = read_cpu_s(first.process.pid)
-    tally = await Paced(first.ports.clients, HOT_RATE, draw).run(seconds)
+    tally = await OpenLoop(first.ports.clients, HOT_RATE, draw).run(seconds)
     used = read_cpu_s(first.process.pid) - before
     await fleet.stop()
     registry.stop()
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -24,9 +24,9 @@
 from typing import Final
 
 from benchmarks.rig import ROOT, cpu_s, memory_mb, wait_ready
-from standins.box import Box
-from standins.discovery import Registry, member
-from standins.load import Paced
+from standins.node import StandInNode
+from standins.discovery import StandInDiscovery, node_entry
+from standins.load import OpenLoop
 from standins.ports import free_ports
 
 SIZES: Final = ((25, 400), (200, 3_200))
@@ -87,7 +87,7 @@
 
 
 @contextmanager
-def proxy(registry: Registry, folder: Path) -> Iterator[tuple[int, subprocess.Popen[bytes]]]:
+def proxy(registry: StandInDiscovery, folder: Path) -> Iterator[tuple[int, subprocess.Popen[bytes]]]:
     """Runs a proxy that starts with the current list of nodes; yields its port and its process."""
     (port,) = free_ports(1)
     file = folder / "config.json"
@@ -99,7 +99,7 @@
                 "discovery": registry.address,
                 "seed": "1",
                 "limits": {"memory_mb": 192, "sockets": 1024},
-                "known": registry.listing(None),
+                "known": registry.node_list(None),
                 "settings": SETTINGS,
             }
         )
@@ -115,15 +115,15 @@
         process.wait()
 
 
-async def replace_nodes(registry: Registry, address: str, nodes: int) -> None:
+async def replace_nodes(registry: StandInDiscovery, address: str, nodes: int) -> None:
     """Replaces one node after the other until cancelled; each first drains and is then removed."""
     old, new = 0, nodes
     while True:
         await asyncio.sleep(CHANGE_INTERVAL_S)
-        await registry.phase(f"s-{old}", "draining")
+        await registry.set_phase(f"s-{old}", "draining")
         await asyncio.sleep(CHANGE_INTERVAL_S)
-        await registry.phase(f"s-{old}", "removed")
-        await registry.put(member(f"s-{new}", address, up_since_ms=int(time.time() * 1e3)))
+        await registry.set_phase(f"s-{old}", "removed")
+        await registry.put(node_entry(f"s-{new}", address, up_since_ms=int(time.time() * 1e3)))
         old, new = old + 1, new + 1
 
 
@@ -138,23 +138,23 @@
         head = f"Host: a\r\nX-Call-Id: {number:x}\r\nX-Call-Class: read\r\nX-Budget: 2.0\r\n"
         return f"GET /api/{key * 2654435761:016x} HTTP/1.1\r\n{head}\r\n".encode(), "read"
 
-    node, registry = Box("s"), Registry()
+    node, registry = StandInNode("s"), StandInDiscovery()
     connections = 0
 
     def count_connections(step: str) -> None:
         nonlocal connections
         connections += step == "accepted"
 
-    node.hold = count_connections
+    node.on_step = count_connections
     await node.start()
     await registry.start()
     for n in range(nodes):
-        await registry.put(member(f"s-{n}", node.address))
+        await registry.put(node_entry(f"s-{n}", node.address))
     with tempfile.TemporaryDirectory() as folder, proxy(registry, Path(folder)) as (port, process):
         await asyncio.to_thread(wait_ready, port, process)
-        cpu_before, written_before = cpu_s(process), registry.written
+        cpu_before, written_before = cpu_s(process), registry.bytes_written
         replacing = asyncio.create_task(replace_nodes(registry, node.address, nodes))
-        load = asyncio.create_task(Paced(port, RATE_PER_S, draw_request).run(span_s))
+        load = asyncio.create_task(OpenLoop(port, RATE_PER_S, draw_request).run(span_s))
         memory, descriptors = 0.0, 0
         while not load.done():
             await asyncio.sleep(SAMPLE_INTERVAL_S)
@@ -162,7 +162,7 @@
             descriptors = max(descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
         replacing.cancel()
         tally = await load
-        used, written = cpu_s(process) - cpu_before, registry.written - written_before
+        used, written = cpu_s(process) - cpu_before, registry.bytes_written - written_before
     node.stop()
     registry.stop()
     return Needs(
@@ -172,7 +172,7 @@
         descriptors,
         connections,
         written / 1e3,
-        tally.served / max(tally.asked("read"), 1),
+        tally.served / max(tally.answer_count("read"), 1),
     )
 
 
--- a/benchmarks/replacement.py
+++ b/benchmarks/replacement.py
@@ -34,8 +34,8 @@
 import uvloop
 
 from benchmarks.rig import ROOT, memory_mb
-from standins.box import Box, Work
-from standins.discovery import Registry, member
+from standins.node import StandInNode, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
 from standins.ports import free_ports
 
 AIM_MS = 300.0
@@ -71,7 +71,7 @@
     upload_bytes: int = 2 << 20
     sockets: int = 1024
     memory_mb: int = 192
-    work: Work = Work(seconds=0.004, cores=4)
+    work: NodeProfile = NodeProfile(service_s=0.004, cores=4)
 
 
 LOADS = {
@@ -80,7 +80,7 @@
     "crowded": Load(
         persistent_clients=150, fresh_clients=20, upload_bytes=32 << 20, sockets=384, memory_mb=80
     ),
-    "overload": Load(persistent_clients=150, work=Work(seconds=0.03, cores=1)),
+    "overload": Load(persistent_clients=150, work=NodeProfile(service_s=0.03, cores=1)),
 }
 
 
@@ -190,12 +190,12 @@
     """Starts the proxy's processes, one after the other or side by side."""
 
     def __init__(
-        self, folder: Path, registry: Registry, nodes: Sequence[Box], inherited: bool, load: Load
+        self, folder: Path, registry: StandInDiscovery, nodes: Sequence[StandInNode], inherited: bool, load: Load
     ) -> None:
         self.folder = folder
         (self.port,) = free_ports(1)
         self.listener = socket.create_server(("127.0.0.1", self.port), backlog=1024) if inherited else None
-        members = [member(node.name, node.address) for node in nodes]
+        members = [node_entry(node.name, node.address) for node in nodes]
         limits = {"MaxAttempts": 3, "SecondCopies": True, "Cancel": True}
         self.config = {
             "name": "n0",
@@ -264,12 +264,12 @@
 async def play(name: str, rounds: int, span_s: float, beside: bool) -> Iterator[Row]:
     """Runs `rounds` replacements with the load of this name; returns the rows of results."""
     load = LOADS[name]
-    nodes = [Box(f"s-{i}", load.work) for i in range(NODES)]
-    registry = Registry()
+    nodes = [StandInNode(f"s-{i}", load.work) for i in range(NODES)]
+    registry = StandInDiscovery()
     await registry.start()
     for node in nodes:
         await node.start()
-        await registry.put(member(node.name, node.address))
+        await registry.put(node_entry(node.name, node.address))
     with tempfile.TemporaryDirectory() as folder:
         proxy = Proxy(Path(folder), registry, nodes, beside, load)
         process = await proxy.start()
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -21,9 +21,9 @@
 
 import uvloop
 
-from standins.box import Box, Work
-from standins.discovery import Registry, member
-from standins.load import Draw, Paced, Tally, closed_loop
+from standins.node import StandInNode, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
+from standins.load import RequestSource, OpenLoop, Tally, closed_loop
 from standins.ports import free_ports
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -34,9 +34,9 @@
 ]
 
 
-def _serve_nodes(pipe: Connection, first: int, count: int, work: Work) -> None:
+def _serve_nodes(pipe: Connection, first: int, count: int, work: NodeProfile) -> None:
     async def serve() -> None:
-        nodes = [Box(f"s-{i}", work) for i in range(first, first + count)]
+        nodes = [StandInNode(f"s-{i}", work) for i in range(first, first + count)]
         for node in nodes:
             await node.start()
         pipe.send([(node.name, node.address) for node in nodes])
@@ -47,10 +47,10 @@
 
 def _serve_registry(pipe: Connection, fleet: list[tuple[str, str]]) -> None:
     async def serve() -> None:
-        registry = Registry()
+        registry = StandInDiscovery()
         await registry.start()
         for name, address in fleet:
-            await registry.put(member(name, address))
+            await registry.put(node_entry(name, address))
         pipe.send(registry.address)
         await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
 
@@ -72,7 +72,7 @@
 
 
 @contextmanager
-def run_nodes(count: int, work: Work, processes: int = 1) -> Iterator[tuple[str, list[tuple[str, str]]]]:
+def run_nodes(count: int, work: NodeProfile, processes: int = 1) -> Iterator[tuple[str, list[tuple[str, str]]]]:
     """Runs nodes in processes of their own; yields the discovery address and each node's name and address."""
     with ExitStack() as stack:
         edges = [count * i // processes for i in range(processes + 1)]
@@ -125,7 +125,7 @@
                 "discovery": discovery,
                 "seed": "1",
                 "limits": {"memory_mb": 192, "sockets": 4096},
-                "known": {"revision": 1, "complete": True, "members": [member(n, a) for n, a in fleet]},
+                "known": {"revision": 1, "complete": True, "members": [node_entry(n, a) for n, a in fleet]},
                 "settings": {"Classes": CLASSES, "Limits": {"MaxAttempts": 3, "SecondCopies": True}},
             },
             file,
@@ -197,7 +197,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def run_closed_loop(port: int, connections: int, seconds: float, draw: Draw) -> Tally:
+def run_closed_loop(port: int, connections: int, seconds: float, draw: RequestSource) -> Tally:
     """Runs a closed loop of clients in this process."""
     return uvloop.run(closed_loop([port], connections, seconds, draw))
 
@@ -215,14 +215,14 @@
 
 def _serve_loads(pipe: Connection, seed: int) -> None:
     """Runs the loads received from the pipe until "end" arrives."""
-    draws: dict[int, Draw] = {}
+    draws: dict[int, RequestSource] = {}
     while (command := pipe.recv()) != "end":
         ports, connections, per_second, seconds, keys = command
         draw = draws.setdefault(keys, platform_draw(keys, seed))
         if per_second is None:
             pipe.send(uvloop.run(closed_loop(ports, connections, seconds, draw)))
         else:
-            pipe.send(uvloop.run(Paced(ports[0], per_second, draw).run(seconds)))
+            pipe.send(uvloop.run(OpenLoop(ports[0], per_second, draw).run(seconds)))
 
 
 class LoadGenerators:
@@ -263,5 +263,5 @@
             total.latencies.setdefault(label, []).extend(values)
         total.retry_after.update(tally.retry_after)
         total.lost += tally.lost
-        total.span_s = max(total.span_s, tally.span_s)
+        total.duration_s = max(total.duration_s, tally.duration_s)
     return total
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -28,8 +28,8 @@
 from benchmarks.rig import ROOT
 from benchmarks.soak_checks import Asked, Departure, Heard, Left, Record, Run, Stopped, Violation, check
 from notchflow.net.stalls import STALL_CHECK_MS, StallDetector
-from standins.box import Box, Execution, Work
-from standins.discovery import Registry, member
+from standins.node import StandInNode, Execution, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
 from standins.ports import free_ports
 
 SPAN_S: Final = 10.0
@@ -48,8 +48,8 @@
 LEAVING: Final = 0.5  # probability, for a client with a request in progress while its instance is paused
 MAX_LEAVE_DELAY_S: Final = 0.03
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
-NORMAL_WORK: Final = Work(seconds=0.005, cores=8, body=200)
-HANGING_WORK: Final = Work(seconds=30.0, cores=64)
+NORMAL_WORK: Final = NodeProfile(service_s=0.005, cores=8, body_bytes=200)
+HANGING_WORK: Final = NodeProfile(service_s=30.0, cores=64)
 LIMITS: Final = {"MaxAttempts": 3, "SecondCopies": True, "Cancel": True}
 CLASSES: Final = [
     {"Name": "read", "ObjectiveMs": 200, "DeadlineMs": 1000, "Effect": "repeatable"},
@@ -221,8 +221,8 @@
         self.seed, self.folder, self.span_s = seed, folder, span_s
         self.draw = random.Random(seed)
         self.record = Record(DRAIN_GRACE_S, crowd=seed % 4 == 0)
-        self.registry = Registry()
-        self.nodes: dict[str, Box] = {}
+        self.registry = StandInDiscovery()
+        self.nodes: dict[str, StandInNode] = {}
         self.draining: list[str] = []  # they keep serving: a run after the grace period is a violation
         self.over = False
         self.stalls = StallDetector(0.0)  # of this process, in which the nodes run
@@ -262,7 +262,7 @@
             await asyncio.gather(*clients)
         finally:
             self._stop_all(instances)
-        self.record.told = {n: self.registry.told[n] for n in self.draining if n in self.registry.told}
+        self.record.told = {n: self.registry.written_at[n] for n in self.draining if n in self.registry.written_at}
         return check(self.record)
 
     def _stop_all(self, instances: list[Instance]) -> None:
@@ -277,7 +277,7 @@
         self.registry.stop()
 
     async def _add_node(self, name: str, **entry: Any) -> None:
-        box = self.nodes[name] = Box(name, NORMAL_WORK)
+        box = self.nodes[name] = StandInNode(name, NORMAL_WORK)
 
         def record_run(run: Execution, fields: dict[bytes, bytes], body: bytes) -> None:
             self.record.runs.append(Run(run.id, name, self.now()))
@@ -285,9 +285,9 @@
         def record_arrival(number: str) -> None:
             self.record.heard.append(Heard(number, self.stalls.earliest_arrival(self.now() * 1e3) / 1e3))
 
-        box.watch, box.heard = record_run, record_arrival
+        box.on_execution, box.on_request_received = record_run, record_arrival
         await box.start()
-        await self.registry.put(member(name, box.address, **entry))
+        await self.registry.put(node_entry(name, box.address, **entry))
 
     async def _update_stall_detector(self) -> None:
         while not self.over:
@@ -347,7 +347,7 @@
             healthy = [
                 name
                 for name, box in self.nodes.items()
-                if name not in self.draining and box.work is NORMAL_WORK
+                if name not in self.draining and box.profile is NORMAL_WORK
             ]
             if len(healthy) < 2:
                 continue
@@ -355,13 +355,13 @@
             box = self.nodes[name]
             if fault == "drain":
                 self.draining.append(name)
-                await self.registry.phase(name, "draining")
+                await self.registry.set_phase(name, "draining")
                 number += 1
                 await self._add_node(f"s-{number}", up_since_ms=0)
             elif fault == "hang":
-                box.work = HANGING_WORK
+                box.profile = HANGING_WORK
                 await asyncio.sleep(self.draw.uniform(0.5, 1.5))
-                box.work = NORMAL_WORK
+                box.profile = NORMAL_WORK
             else:
                 box.reset()
 
--- a/benchmarks/tenancy.py
+++ b/benchmarks/tenancy.py
@@ -43,8 +43,8 @@
 from notchflow.tenancy.admission import AdmissionSettings, TenantAdmission
 from notchflow.tenancy.keys import KEY, mint
 from notchflow.tenancy.model import ApiKey, Limits, Route, Tenant
-from standins.box import Work
-from standins.load import Draw, Paced, Tally
+from standins.node import NodeProfile
+from standins.load import RequestSource, OpenLoop, Tally
 from standins.ports import free_ports
 
 AIM_MS = 300.0
@@ -135,11 +135,11 @@
     return lambda: (requests[int(rng.random() * paths)], label)
 
 
-async def run_paced_loads(port: int, *loads: tuple[float, Draw], seconds: float) -> list[Tally]:
+async def run_paced_loads(port: int, *loads: tuple[float, RequestSource], seconds: float) -> list[Tally]:
     """Runs several open loops at the same time, each with its rate; returns their tallies."""
     import asyncio
 
-    return list(await asyncio.gather(*(Paced(port, rate, draw).run(seconds) for rate, draw in loads)))
+    return list(await asyncio.gather(*(OpenLoop(port, rate, draw).run(seconds) for rate, draw in loads)))
 
 
 def flood(seconds: float) -> list[tuple[str, float, str]]:
@@ -148,7 +148,7 @@
     rows: list[tuple[str, float, str]] = []
     # The fleet (400 requests per second) absorbs this burst without a queue as long as the aim.
     limits = Limits(rate_per_s=limit, burst=0.2 * limit)
-    with run_nodes(4, Work(0.02, 2)) as (discovery, _):
+    with run_nodes(4, NodeProfile(0.02, 2)) as (discovery, _):
         with run_hosted_proxy(discovery, ["calm", "flood"], limits) as (port, _, tokens):
             calm = create_read_draw({"calm": tokens["calm"]}, "calm", 2_000)
             excessive = create_read_draw({"flood": tokens["flood"]}, "flood", 2_000, seed=2)
@@ -157,10 +157,10 @@
                 run_paced_loads(port, (0.8 * limit, calm), (10 * limit, excessive), seconds=seconds)
             )
         for name, tally in (("alone", alone), ("beside_flood", both[0])):
-            in_time = tally.in_time("calm", AIM_MS) / max(tally.asked("calm"), 1)
+            in_time = tally.in_time("calm", AIM_MS) / max(tally.answer_count("calm"), 1)
             rows.append((f"calm_in_time_{name}", in_time, ""))
             rows.append((f"calm_p99_{name}", tally.percentile(0.99), "ms"))
-        requests = max(both[1].asked("flood"), 1)
+        requests = max(both[1].answer_count("flood"), 1)
         rows.append(("flood_served", both[1].served / requests, ""))
         rows.append(("flood_refused_429", both[1].statuses["flood"][429] / requests, ""))
         rows.append(("requests_lost", float(alone.lost + both[0].lost + both[1].lost), ""))
@@ -176,12 +176,12 @@
     """
     many = [f"tenant-{i:05}" for i in range(TENANTS)]
     with ExitStack() as stack:
-        discovery, fleet = stack.enter_context(run_nodes(3, Work()))
+        discovery, fleet = stack.enter_context(run_nodes(3, NodeProfile()))
         one_port, one, one_tokens = stack.enter_context(run_hosted_proxy(discovery, ["only-one"]))
         many_port, many_process, many_tokens = stack.enter_context(run_hosted_proxy(discovery, many))
         again_port, again, again_tokens = stack.enter_context(run_hosted_proxy(discovery, ["only-one"]))
         platform_port, platform = stack.enter_context(platform_proxy(discovery, fleet))
-        peers: list[tuple[str, int, subprocess.Popen[bytes], Draw]] = [
+        peers: list[tuple[str, int, subprocess.Popen[bytes], RequestSource]] = [
             ("one", one_port, one, create_read_draw(one_tokens, "one", TENANTS)),
             ("many", many_port, many_process, create_read_draw(many_tokens, "many", TENANTS)),
             ("one_again", again_port, again, create_read_draw(again_tokens, "again", TENANTS)),
@@ -197,7 +197,7 @@
                 before = cpu_s(process)
                 tally = run_closed_loop(port, CONNECTIONS, seconds, draw)
                 cpu_us[name].append((cpu_s(process) - before) / tally.served * 1e6)
-                requests_per_s[name].append(tally.served / tally.span_s)
+                requests_per_s[name].append(tally.served / tally.duration_s)
     best_cpu_us = {name: min(values) for name, values in cpu_us.items()}
     rows = [(f"cpu_a_request_{name}", us, "us") for name, us in best_cpu_us.items()]
     rows += [
--- a/notchflow/faults/checks.py
+++ b/notchflow/faults/checks.py
@@ -15,7 +15,7 @@
 from notchflow.cluster.histories import HistoryLine
 
 NS_PER_MS: Final = 1_000_000
-SLACK: Final = 1.05  # factor on a rate limit
+RATE_LIMIT_SLACK: Final = 1.05  # factor on a rate limit
 MEMBER_STATES: Final = frozenset({"alive", "suspect", "dead", "left"})
 
 
@@ -89,7 +89,7 @@
     """Every survivor declares a killed member dead within the bound, unless the member is started again. For
     schedules without other faults at that time."""
     violations = []
-    for delays, kill in deaths(lines):
+    for delays, kill in detection_delays(lines):
         late = {who: ms for who, ms in delays.items() if ms is None or ms > bounds.detection_ms + slack_ms}
         violations += [
             Violation(
@@ -102,7 +102,7 @@
     return violations
 
 
-def deaths(lines: Sequence[HistoryLine]) -> list[tuple[dict[str, float | None], HistoryLine]]:
+def detection_delays(lines: Sequence[HistoryLine]) -> list[tuple[dict[str, float | None], HistoryLine]]:
     """For each kill: milliseconds until each survivor declared it dead (None: never), and its line."""
     found = []
     for index, line in enumerate(lines):
@@ -132,7 +132,7 @@
     return stopped
 
 
-def nobody_buried_alive(lines: Iterable[HistoryLine]) -> list[Violation]:
+def check_no_false_deaths(lines: Iterable[HistoryLine]) -> list[Violation]:
     """No running member is declared dead. For schedules whose faults are too short to justify that."""
     stopped: set[str] = set()
     violations = []
@@ -226,7 +226,7 @@
     where a window exceeds it."""
     tokens, previous_t = burst + tolerance, 0
     for t in sorted(times):
-        tokens = min(tokens + (t - previous_t) / (1e3 * NS_PER_MS) * rate * SLACK, burst + tolerance) - 1.0
+        tokens = min(tokens + (t - previous_t) / (1e3 * NS_PER_MS) * rate * RATE_LIMIT_SLACK, burst + tolerance) - 1.0
         previous_t = t
         if tokens < 0:
             return [
--- a/notchflow/faults/command.py
+++ b/notchflow/faults/command.py
@@ -89,7 +89,7 @@
             folder = root / f"seed-{plan.seed}"
             outcome = await _play_one(folder, plan, options.rate)
             print(_summary_line(plan, outcome), flush=True)
-            if outcome.broken:
+            if outcome.violations:
                 failed += 1
                 await _explain(folder, plan, outcome, options)
     return int(failed > 0)
@@ -105,7 +105,7 @@
 
 async def _explain(folder: Path, plan: Schedule, outcome: Outcome, options: argparse.Namespace) -> None:
     """Prints the violations of a failed play, and with `--shrink` the shortest schedule that still fails."""
-    for violation in outcome.broken[:10]:
+    for violation in outcome.violations[:10]:
         print(f"  {violation}")
     if not options.shrink:
         print(plan.toml())
@@ -115,7 +115,7 @@
     async def fails(shorter: Schedule) -> bool:
         nonlocal attempts
         attempts += 1
-        return bool((await _play_one(folder / f"try-{attempts}", shorter, options.rate)).broken)
+        return bool((await _play_one(folder / f"try-{attempts}", shorter, options.rate)).violations)
 
     shortest, played = await shrink(plan, fails)
     print(f"  after {played} plays the shortest that still fails:")
@@ -124,9 +124,9 @@
 
 def _summary_line(plan: Schedule, outcome: Outcome) -> str:
     kinds = ", ".join(fault.kind for fault in plan.faults)
-    convergence = "never" if outcome.agreed_ms is None else f"{outcome.agreed_ms:.0f} ms"
-    verdict = f"{len(outcome.broken)} rules broken" if outcome.broken else "held"
+    convergence = "never" if outcome.convergence_ms is None else f"{outcome.convergence_ms:.0f} ms"
+    verdict = f"{len(outcome.violations)} rules broken" if outcome.violations else "held"
     return (
-        f"seed {plan.seed}: {verdict}; {plan.instances} instances, {outcome.asked} requests, views equal "
+        f"seed {plan.seed}: {verdict}; {plan.instances} instances, {outcome.request_count} requests, views equal "
         f"{convergence} after the end; faults: {kinds}"
     )
--- a/notchflow/faults/rig.py
+++ b/notchflow/faults/rig.py
@@ -25,10 +25,10 @@
 from notchflow.faults.schedule import ALL, Schedule
 from notchflow.hosting.fleet import Fleet, Instance, Ports
 from notchflow.tenancy.model import Limits
-from standins.box import Box, Execution, Work
+from standins.node import StandInNode, Execution, NodeProfile
 from standins.connections import ConnectionRecord
-from standins.discovery import Registry, member
-from standins.load import Paced, StallHook
+from standins.discovery import StandInDiscovery, node_entry
+from standins.load import OpenLoop, StallHook
 from standins.ports import free_ports
 from standins.relay import HEALTHY, LinkBehavior, Mesh
 from standins.stalls import no_stall
@@ -51,9 +51,9 @@
 
     lines: list[HistoryLine]
     bounds: checks.Bounds
-    agreed_ms: float | None
-    asked: int = 0
-    broken: list[checks.Violation] = field(default_factory=list)
+    convergence_ms: float | None
+    request_count: int = 0
+    violations: list[checks.Violation] = field(default_factory=list)
     logs: dict[str, str] = field(default_factory=dict)  # the last part of each instance's log
 
 
@@ -65,21 +65,21 @@
         folder: Path,
         plan: Schedule,
         rate: float = 0.0,
-        more: str = "",
+        extra_settings: str = "",
         limits: Limits | None = None,
         stall: StallHook = no_stall,
     ) -> None:
-        """`rate`: requests a second at each instance. `more`: TOML added to the settings. `limits`: of
+        """`rate`: requests a second at each instance. `extra_settings`: TOML added to the settings. `limits`: of
         the tenant, checked if given. `stall` is called at steps of this process and may block it."""
         self.limits, self.stall = limits, stall
-        self.folder, self.plan, self.rate, self.more = folder, plan, rate, more
+        self.folder, self.plan, self.rate, self.extra_settings = folder, plan, rate, extra_settings
         self.active_faults: dict[int, Any] = {}  # faults of links that are in effect
         self.inactive_flaps: set[int] = set()  # flaps that do not cut at present
         self.tasks: set[asyncio.Task[None]] = set()
         self.twins: list[Instance] = []
         self.request_numbers = itertools.count(1)
-        self.paced: list[Paced] = []
-        self.shares_rules = 'rules = "fleet"' in more
+        self.open_loops: list[OpenLoop] = []
+        self.shares_rules = 'rules = "fleet"' in extra_settings
 
     async def play(self) -> Outcome:
         """Starts the fleet, injects the faults, ends them all, and waits until all views agree again."""
@@ -92,7 +92,7 @@
                 self.plan.instances,
                 registry.address,
                 [TENANT, SUSPENDED_TENANT],
-                self.more,
+                self.extra_settings,
                 self.limits or AMPLE_LIMITS,
             )
             self.mesh = Mesh(self.fleet.endpoints(), self.plan.seed)
@@ -163,16 +163,16 @@
         self.notes.note("", what, **more)
 
     # -- discovery, nodes and clients
-    async def _start_nodes(self, stack: AsyncExitStack) -> Registry:
-        registry = Registry()
+    async def _start_nodes(self, stack: AsyncExitStack) -> StandInDiscovery:
+        registry = StandInDiscovery()
         await registry.start()
         stack.callback(registry.stop)
         for number in range(NODE_COUNT):
-            node = Box(f"box-{number + 1}", Work(0.002, 4, 128))
-            node.watch, node.hold = self._note_execution, self.stall
+            node = StandInNode(f"box-{number + 1}", NodeProfile(0.002, 4, 128))
+            node.on_execution, node.on_step = self._note_execution, self.stall
             await node.start()
             stack.callback(node.stop)
-            await registry.put(member(node.name, node.address))
+            await registry.put(node_entry(node.name, node.address))
         return registry
 
     def _note_execution(self, execution: Execution, headers: dict[bytes, bytes], body: bytes) -> None:
@@ -202,19 +202,19 @@
             self._note("lost", id=label, instance=instance.name, **record.fields())
 
         rate = self.rate if tenant == TENANT else SUSPENDED_TENANT_RATE
-        paced = Paced(instance.ports.clients, rate, draw, 32, observe, lost, self.stall)
-        self.paced.append(paced)
-        await paced.run(3_600.0)
+        open_loop = OpenLoop(instance.ports.clients, rate, draw, 32, observe, lost, self.stall)
+        self.open_loops.append(open_loop)
+        await open_loop.run(3_600.0)
 
     async def _stop_clients(self, clients: Iterable[asyncio.Task[None]]) -> None:
         """Sends no more requests, and waits up to CLIENT_DRAIN_S for the answers to outstanding ones."""
         for task in clients:
             task.cancel()
         deadline = time.monotonic() + CLIENT_DRAIN_S
-        while any(a.busy for p in self.paced for a in p.connections) and time.monotonic() < deadline:
+        while any(a.busy for p in self.open_loops for a in p.connections) and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
-        for paced in self.paced:
-            for connection in paced.connections:
+        for open_loop in self.open_loops:
+            for connection in open_loop.connections:
                 if connection.busy:
                     self._note("answer", id=connection.label, instance="nobody", status=0, ms=-1)
                 connection.busy = False
--- a/notchflow/hosting/demo.py
+++ b/notchflow/hosting/demo.py
@@ -25,9 +25,9 @@
 from rich.table import Table
 
 from notchflow.hosting.service import TOKEN_FILE
-from standins.box import Box, Work
-from standins.discovery import Registry, member
-from standins.load import Paced
+from standins.node import StandInNode, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
+from standins.load import OpenLoop
 from standins.ports import free_ports
 
 START_TIMEOUT_S: Final = 20.0
@@ -199,16 +199,16 @@
     return keys
 
 
-async def start_stand_ins(stack: AsyncExitStack) -> Registry:
+async def start_stand_ins(stack: AsyncExitStack) -> StandInDiscovery:
     """Starts stand-in nodes and a discovery that lists them; `stack` stops them."""
-    registry = Registry()
+    registry = StandInDiscovery()
     await registry.start()
     stack.callback(registry.stop)
     for number in range(NODE_COUNT):
-        box = Box(f"box-{number + 1}", Work(0.02, 2, 512))
+        box = StandInNode(f"box-{number + 1}", NodeProfile(0.02, 2, 512))
         await box.start()
         stack.callback(box.stop)
-        await registry.put(member(box.name, box.address))
+        await registry.put(node_entry(box.name, box.address))
     return registry
 
 
@@ -244,7 +244,7 @@
         keys = await _create_tenants(admin, (folder / "state" / TOKEN_FILE).read_text().strip())
         scoreboard = Scoreboard()
         load = asyncio.create_task(
-            Paced(port, rate, request_generator(keys), observe=scoreboard.count_response).run(
+            OpenLoop(port, rate, request_generator(keys), observe=scoreboard.count_response).run(
                 seconds or float("inf")
             )
         )
--- a/notchflow/hosting/fleet_up.py
+++ b/notchflow/hosting/fleet_up.py
@@ -18,7 +18,7 @@
 
 from notchflow.hosting.demo import PRINT_INTERVAL_S, TENANTS, request_generator, start_stand_ins
 from notchflow.hosting.fleet import Fleet, StartError
-from standins.load import Observe, Paced
+from standins.load import AnswerObserver, OpenLoop
 
 MAX_INSTANCES: Final = 16
 
@@ -30,7 +30,7 @@
         self.fleet = fleet
         self.responses: dict[str, Counter[int]] = {name: Counter() for name in fleet.names}
 
-    def observer(self, name: str) -> Observe:
+    def observer(self, name: str) -> AnswerObserver:
         """A callback that counts the responses of one instance by status."""
 
         def count(label: str, status: int, ms: float, box: str) -> None:
@@ -105,7 +105,7 @@
         status = FleetStatus(fleet)
         loads = [
             asyncio.create_task(
-                Paced(
+                OpenLoop(
                     one.ports.clients,
                     rate / count,
                     request_generator(fleet.tokens, number),
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -9,7 +9,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 
-def member(name: str, host_port: str, **changes: Any) -> dict[str, Any]:
+def node_entry(name: str, host_port: str, **changes: Any) -> dict[str, Any]:
     """A node's entry in the list; `changes` override its fields."""
     return {
         "id": name,
@@ -23,22 +23,22 @@
     } | changes
 
 
-class Registry:
+class StandInDiscovery:
     """Answers `GET /registry/instances` with the list, and a watch as soon as there is a newer revision."""
 
     def __init__(self) -> None:
         self.revision = 1
         self.members: dict[str, tuple[int, dict[str, Any]]] = {}
-        self.told: dict[str, float] = {}  # loop time at which a node's last entry was written
+        self.written_at: dict[str, float] = {}  # loop time at which a node's last entry was written
         self.changed = asyncio.Condition()
         self.port = 0
-        self.calls = 0
-        self.written = 0  # bytes of answers
+        self.request_count = 0
+        self.bytes_written = 0  # bytes of answers
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
         self.silent: set[asyncio.StreamWriter] = set()  # connections that get no more answers
-        self.up = asyncio.Event()
-        self.up.set()
+        self.available = asyncio.Event()
+        self.available.set()
 
     @property
     def address(self) -> str:
@@ -74,11 +74,11 @@
             self.members[entry["id"]] = self.revision, dict(entry)
             self.changed.notify_all()
 
-    async def phase(self, name: str, phase: str) -> None:
+    async def set_phase(self, name: str, phase: str) -> None:
         """Changes the phase of a node: up, draining or removed."""
         await self.put(self.members[name][1] | {"phase": phase})
 
-    def listing(self, index: int | None) -> dict[str, Any]:
+    def node_list(self, index: int | None) -> dict[str, Any]:
         """The full list, or the entries that are newer than a revision."""
         complete = index is None or index > self.revision
         after_revision = 0 if index is None or complete else index
@@ -96,23 +96,23 @@
         self.writers.add(writer)
         try:
             while request_line := (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n", 1)[0]:
-                self.calls += 1
+                self.request_count += 1
                 query = parse_qs(urlsplit(request_line.split()[1].decode()).query)
                 index = int(query["index"][0]) if "index" in query else None
                 if index is not None:
                     await self._wait(index, int(query.get("wait", ["0"])[0]) / 1e3)
-                await self.up.wait()
+                await self.available.wait()
                 if writer.is_closing():
                     return  # the client has left meanwhile
                 if writer in self.silent:
                     await reader.read()  # until the client gives up
                     return
-                listing = self.listing(index)
+                listing = self.node_list(index)
                 body = json.dumps(listing).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-                self.written += len(body)
+                self.bytes_written += len(body)
                 now = asyncio.get_running_loop().time()
-                self.told.update({e["id"]: now for e in listing["members"]})
+                self.written_at.update({e["id"]: now for e in listing["members"]})
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass  # the proxy has left, or the stand-in stops
         finally:
--- a/standins/faulty_files.py
+++ b/standins/faulty_files.py
@@ -28,7 +28,7 @@
 class Inode:
     """A file's bytes as readers see them and as they are on the disk, and the writes in between."""
 
-    seen: bytearray = field(default_factory=bytearray)
+    visible: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
     writes: list[tuple[int, bytes]] = field(default_factory=list)  # a truncation has its offset and no bytes
     sync_failed: bool = False  # a sync has failed
@@ -63,24 +63,24 @@
         room = self.folder.operation("append", len(data))
         written, inode = data[:room], self.inode
         if written:
-            inode.writes.append((len(inode.seen), bytes(written)))
-            inode.seen += written
+            inode.writes.append((len(inode.visible), bytes(written)))
+            inode.visible += written
         if room < len(data):
             raise OSError(errno.ENOSPC, "no space left")
 
     def read(self, offset: int, size: int) -> bytes:
         """At most `size` bytes from `offset` on."""
-        return bytes(self.inode.seen[offset : offset + size])
+        return bytes(self.inode.visible[offset : offset + size])
 
     def size(self) -> int:
         """The file's size in bytes."""
-        return len(self.inode.seen)
+        return len(self.inode.visible)
 
     def truncate(self, size: int) -> None:
         """Cuts the file to this size."""
         self.folder.operation("truncate")
         self.inode.writes.append((size, b""))
-        del self.inode.seen[size:]
+        del self.inode.visible[size:]
 
     def sync(self) -> None:
         """Makes the file's bytes durable, unless a sync has failed before."""
@@ -91,7 +91,7 @@
             inode.sync_failed = True
             raise
         if not inode.sync_failed:
-            inode.durable = bytes(inode.seen)
+            inode.durable = bytes(inode.visible)
             inode.writes.clear()
 
     def close(self) -> None:
@@ -129,7 +129,7 @@
             raise OSError(self.errors[self.operations], "injected error")
         if self.capacity is None:
             return size
-        return max(min(size, self.capacity - sum(len(i.seen) for i in self.files.values())), 0)
+        return max(min(size, self.capacity - sum(len(i.visible) for i in self.files.values())), 0)
 
     def names(self) -> list[str]:
         """The names of all files, sorted."""
@@ -208,6 +208,6 @@
     def copy(self) -> FaultyFiles:
         """A copy without faults whose bytes are all durable."""
         found = FaultyFiles()
-        found.files = {n: Inode(bytearray(i.seen), bytes(i.seen)) for n, i in self.files.items()}
+        found.files = {n: Inode(bytearray(i.visible), bytes(i.visible)) for n, i in self.files.items()}
         found.durable = dict(found.files)
         return found
--- a/standins/load.py
+++ b/standins/load.py
@@ -15,9 +15,9 @@
 from standins.stalls import no_stall
 
 # Returns the bytes of the next request and a label, by which results are grouped.
-Draw = Callable[[], tuple[bytes, str]]
+RequestSource = Callable[[], tuple[bytes, str]]
 # Called for each answer instead of the tally: label, status (0: no answer), milliseconds, answering node.
-Observe = Callable[[str, int, float, str], None]
+AnswerObserver = Callable[[str, int, float, str], None]
 # Called when a connection ends with a request unanswered: that request's label and the connection's record.
 LostCallback = Callable[[str, ConnectionRecord], None]
 # Called at named steps of a connection; may block the process there.
@@ -32,7 +32,7 @@
     latencies: dict[str, list[float]] = field(default_factory=dict)
     retry_after: Counter[float] = field(default_factory=Counter)
     lost: int = 0
-    span_s: float = 0.0
+    duration_s: float = 0.0
 
     def add(self, label: str, status: int, ms: float) -> None:
         """Counts an answer; only answers of 200 count for the latencies."""
@@ -45,7 +45,7 @@
         """Requests that were answered with 200."""
         return sum(c[200] for c in self.statuses.values())
 
-    def asked(self, label: str) -> int:
+    def answer_count(self, label: str) -> int:
         """Requests of a label that got an answer of any status."""
         return sum(self.statuses.get(label, Counter()).values())
 
@@ -72,7 +72,7 @@
         self.label = ""
         self.sent_at = 0.0
         self.on_answer: Callable[[LoadConnection], None] | None = None
-        self.observe: Observe | None = None
+        self.observe: AnswerObserver | None = None
         self.node = ""
         self.busy = False
         self.keep_alive = True  # the last answer lets the connection stay open
@@ -150,7 +150,7 @@
     return connection
 
 
-async def closed_loop(ports: Sequence[int], connections: int, seconds: float, draw: Draw) -> Tally:
+async def closed_loop(ports: Sequence[int], connections: int, seconds: float, draw: RequestSource) -> Tally:
     """Sends the next request on each connection as soon as the last is answered. The connections are spread
     over the ports in turn."""
     tally = Tally()
@@ -175,11 +175,11 @@
         connection.on_answer = send_next
         connection.ask(*draw())
     await finished.wait()
-    tally.span_s = time.monotonic() - started_at
+    tally.duration_s = time.monotonic() - started_at
     return tally
 
 
-class Paced:
+class OpenLoop:
     """An open loop: a fixed rate of requests, whatever the latency, on as many connections as that needs.
     Beyond `connections_max` requests wait, and their latency includes the wait."""
 
@@ -187,9 +187,9 @@
         self,
         port: int,
         per_second: float,
-        draw: Draw,
+        draw: RequestSource,
         connections_max: int = 256,
-        observe: Observe | None = None,
+        observe: AnswerObserver | None = None,
         lost: LostCallback | None = None,
         stall: StallHook = no_stall,
     ) -> None:
@@ -220,7 +220,7 @@
         self.tally.lost += len(self.waiting) + sum(a.busy for a in self.connections)
         for connection in self.connections:
             connection.close()
-        self.tally.span_s = seconds
+        self.tally.duration_s = seconds
         return self.tally
 
     def _send_or_queue(
--- a/standins/box.py
+++ b/standins/node.py
@@ -18,14 +18,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class NodeProfile:
     """A node's capacity: seconds of a core for each request (0: answered at once), the number of cores, bytes
     of an answer's body, and the fraction of requests that it rejects without running them."""
 
-    seconds: float = 0.0
+    service_s: float = 0.0
     cores: int = 2
-    body: int = 512
-    failing: float = 0.0
+    body_bytes: int = 512
+    reject_fraction: float = 0.0
 
 
 @dataclass(slots=True)
@@ -38,22 +38,22 @@
     id: str
 
 
-class Box:
+class StandInNode:
     """A stand-in node. `executions` counts each (method, path, Idempotency-Key or X-Call-Id) that it ran."""
 
-    def __init__(self, name: str, work: Work | None = None) -> None:
-        self.name, self.work = name, work or Work()
+    def __init__(self, name: str, profile: NodeProfile | None = None) -> None:
+        self.name, self.profile = name, profile or NodeProfile()
         self.executions: Counter[tuple[str, str, str]] = Counter()
-        self.watch: Callable[[Execution, dict[bytes, bytes], bytes], None] | None = None
-        self.heard: Callable[[str], None] | None = None  # called with the X-Call-Id of each request
-        self.hold: Callable[[str], None] = no_stall
-        self.busy = 0
+        self.on_execution: Callable[[Execution, dict[bytes, bytes], bytes], None] | None = None
+        self.on_request_received: Callable[[str], None] | None = None  # called with the X-Call-Id of each request
+        self.on_step: Callable[[str], None] = no_stall
+        self.busy_cores = 0
         self.queue: deque[Callable[[], None]] = deque()
-        self.open: set[asyncio.Transport] = set()
+        self.connections: set[asyncio.Transport] = set()
         self.random = random.Random(name)
         self.port = 0
         self.draining = False
-        self.body = b"x" * self.work.body
+        self.body = b"x" * self.profile.body_bytes
         self.answer_headers = b"X-Hit: hit\r\nX-Box: %b\r\n" % name.encode()
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
@@ -79,18 +79,18 @@
 
     def reset(self) -> None:
         """Resets all open connections."""
-        for transport in list(self.open):
+        for transport in list(self.connections):
             transport.abort()
 
-    def fails(self) -> bool:
+    def should_reject(self) -> bool:
         """Whether to reject the next request; the sequence depends on the node's name alone."""
-        return self.work.failing > 0 and self.random.random() < self.work.failing
+        return self.profile.reject_fraction > 0 and self.random.random() < self.profile.reject_fraction
 
     def admit(self, run: Callable[[], None]) -> bool:
         """Runs work on a core, at once or after queueing; false if the queue is full."""
-        if self.busy < self.work.cores:
-            self.busy += 1
-            self.loop.call_later(self.work.seconds, self._finish, run)
+        if self.busy_cores < self.profile.cores:
+            self.busy_cores += 1
+            self.loop.call_later(self.profile.service_s, self._finish, run)
             return True
         if len(self.queue) >= QUEUE_MAX:
             return False
@@ -100,15 +100,15 @@
     def _finish(self, run: Callable[[], None]) -> None:
         run()
         if self.queue:
-            self.loop.call_later(self.work.seconds, self._finish, self.queue.popleft())
+            self.loop.call_later(self.profile.service_s, self._finish, self.queue.popleft())
         else:
-            self.busy -= 1
+            self.busy_cores -= 1
 
 
 class _ServerConnection(asyncio.Protocol):
     """A proxy's connection to the node, with one request at a time."""
 
-    def __init__(self, node: Box) -> None:
+    def __init__(self, node: StandInNode) -> None:
         self.node = node
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -121,16 +121,16 @@
         if self.node.server is None:  # accepted just before stop(), which did not see it
             self.transport.abort()
             return
-        self.node.open.add(self.transport)
-        self.node.hold("accepted")
+        self.node.connections.add(self.transport)
+        self.node.on_step("accepted")
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.transport is not None:
-            self.node.open.discard(self.transport)
+            self.node.connections.discard(self.transport)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        self.node.hold("before a node reads")
+        self.node.on_step("before a node reads")
         try:
             self.parser.feed_data(data)
         except HttpParserError:
@@ -152,13 +152,13 @@
     def on_message_complete(self) -> None:
         method = self.parser.get_method()
         url, headers, body = self.url, self.headers, self.body
-        if self.node.heard is not None:
-            self.node.heard(headers.get(b"x-call-id", b"").decode("latin-1"))
-        if self.node.draining or self.node.fails():
+        if self.node.on_request_received is not None:
+            self.node.on_request_received(headers.get(b"x-call-id", b"").decode("latin-1"))
+        if self.node.draining or self.node.should_reject():
             self._write(b"503 Service Unavailable", b"X-Rejected: 1\r\n", b"")
         elif b"x-call-id" not in headers:
             self._write(b"404 Not Found", b"", b"")
-        elif self.node.work.seconds <= 0:
+        elif self.node.profile.service_s <= 0:
             self._run(method, url, headers, body)
         elif not self.node.admit(lambda: self._run(method, url, headers, body)):
             self._write(b"503 Service Unavailable", b"X-Rejected: 1\r\n", b"")
@@ -167,11 +167,11 @@
         node, key = self.node, headers.get(b"idempotency-key")
         call_id = headers[b"x-call-id"].decode("latin-1")
         key_text = key.decode("latin-1") if key is not None else None
-        if node.watch is not None or method != b"GET":
+        if node.on_execution is not None or method != b"GET":
             execution = Execution(method.decode(), url.decode("latin-1"), key_text, call_id)
             node.executions[execution.method, execution.path, key_text or call_id] += 1
-            if node.watch is not None:
-                node.watch(execution, headers, body)
+            if node.on_execution is not None:
+                node.on_execution(execution, headers, body)
         self._write(b"200 OK", node.answer_headers, node.body)
 
     def _write(self, status: bytes, extra: bytes, body: bytes) -> None:
--- a/tests/crossings/forced.py
+++ b/tests/crossings/forced.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.rig import Client, Rig, until
+from tests.rig import Client, Rig, wait_until
 
 
 class HeldDials:
@@ -37,13 +37,13 @@
 async def assert_all_finished(rig: Rig) -> None:
     """Waits until no request, dial or client is left, and checks that nothing is buffered or counted."""
     host = rig.host
-    await until(lambda: not host.active_requests and not any(pool.dials for pool in host.pools.values()))
+    await wait_until(lambda: not host.active_requests and not any(pool.dials for pool in host.pools.values()))
     for client in rig.clients:  # only now, as a disconnect would end unfinished requests
         client.writer.transport.abort()
-    await until(lambda: not host.frontend.clients)
+    await wait_until(lambda: not host.frontend.clients)
     idle = sum(len(pool.idle) for pool in host.pools.values())
-    await until(lambda: host.descriptors_used == sum(len(pool.idle) for pool in host.pools.values()))
-    await until(lambda: sum(len(node.open) for node in rig.nodes) >= idle)  # all accepted: can be closed
+    await wait_until(lambda: host.descriptors_used == sum(len(pool.idle) for pool in host.pools.values()))
+    await wait_until(lambda: sum(len(node.open) for node in rig.nodes) >= idle)  # all accepted: can be closed
     assert (host.buffered_bytes, host.descriptors_used) == (0, idle)
     assert not host.balancer.pending and not host.balancer.fleet.in_flight
     assert not any(node.in_flight or node.outstanding for node in host.balancer.fleet.nodes.values())
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -11,7 +11,7 @@
 from notchflow.interface import Outcome, Status
 from tests.crossings.forced import HeldDials, assert_all_finished
 from tests.crossings.test_client_gone import LIMITS, make_rig
-from tests.rig import Rig, Seen, answer, run, serve_value, until
+from tests.rig import Rig, HttpMessage, answer, run, serve_value, wait_until
 
 
 class ManualNode:
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def __call__(self, request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def __call__(self, request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
 
 
@@ -30,15 +30,15 @@
     async def test() -> None:
         node = ManualNode()
         async with make_rig(node) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
             client.send("PUT", body=b"x", X_Call_Class=cls)
-            await until(lambda: node.writers)
+            await wait_until(lambda: node.writers)
             steps = [lambda: node.writers[0].write(answer()), client.reset]
             for step in steps if answer_first else steps[::-1]:
                 step()  # both are in the kernel before the proxy's next loop iteration
             await assert_all_finished(rig)
-            assert rig.sent == 1 and len(outcomes) == 1
+            assert rig.forwarded_count == 1 and len(outcomes) == 1
             assert outcomes[0].status in (Status.OK, Status.CANCELLED)
 
     run(test())
@@ -51,7 +51,7 @@
         async with make_rig(node) as rig:
             client = await rig.connect()
             client.send("PUT", body=b"x", X_Call_Class=cls, X_Budget="0.5")
-            await until(lambda: node.writers)
+            await wait_until(lambda: node.writers)
             (item,) = rig.host.active_requests.values()
             node.writers[0].write(answer())
             rig.host._on_deadline(item.id)  # before the proxy reads it
@@ -74,7 +74,7 @@
             dials = HeldDials(rig)
             client = await rig.connect()
             client.send("PUT", body=b"paid", X_Call_Class="once", X_Budget="0.4")
-            await until(lambda: dials.waiting)
+            await wait_until(lambda: dials.waiting)
             (pool,) = rig.host.pools.values()
             (connection,) = pool.dials
             dials.released.set()
@@ -82,7 +82,7 @@
             response = await client.receive()
             assert response is not None and response.status == 503, "it never ran"
             await assert_all_finished(rig)
-            assert rig.sent == 0
+            assert rig.forwarded_count == 0
 
     run(test())
 
@@ -92,18 +92,18 @@
     async def test() -> None:
         async with Rig(serve_value, serve_value) as rig:
             rig.settings = replace(rig.settings, limits=LIMITS)
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
-            assert (await client.ask("PUT", body=b"x", X_Call_Class=cls)).status == 200
+            assert (await client.request("PUT", body=b"x", X_Call_Class=cls)).status == 200
             (pool,) = [p for p in rig.host.pools.values() if p.idle]
             node = next(n for n in rig.nodes if n.port == pool.address[1])
-            sent = rig.sent
+            sent = rig.forwarded_count
             for writer in node.open:
                 writer.transport.abort()
             client.send("PUT", body=b"y", X_Call_Class=cls)  # ready together with the close
             response = await client.receive()
             assert response is not None
-            ran = rig.sent - sent
+            ran = rig.forwarded_count - sent
             if response.status == 200:
                 assert ran == 1
             else:
@@ -117,7 +117,7 @@
     """Also if the settings forbid cancelling: a finished request starts nothing."""
     gate = asyncio.Event()
 
-    async def gated(request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def gated(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         if "held" in request.line:
             await gate.wait()
         await serve_value(request, writer)
@@ -128,14 +128,14 @@
             client, other = await rig.connect(), await rig.connect()
             dials = HeldDials(rig, free=2)
             client.send(path="/api/00aa?held")
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             while dials.waiting < 3:  # later requests are served, so that the node has no queue
-                await other.ask(path="/api/00aa")
+                await other.request(path="/api/00aa")
             gate.set()
             response = await client.receive()
             assert response is not None and response.status == 200
             dials.released.set()
             await assert_all_finished(rig)
-            assert sum("held" in s.line for node in rig.nodes for s in node.seen) == 1
+            assert sum("held" in s.line for node in rig.nodes for s in node.received) == 1
 
     run(test())
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -18,7 +18,7 @@
 from notchflow.net import client as client_module
 from notchflow.net.request_reader import MAX_PIPELINED
 from tests.crossings.forced import HeldDials, assert_all_finished, half_close
-from tests.rig import Client, Rig, Script, Seen, run, serve_value, until
+from tests.rig import Client, Rig, Script, HttpMessage, run, serve_value, wait_until
 
 LIMITS = Limits(max_attempts=3, second_copies=True, cancel=True, connect_timeout_ms=5_000.0)
 CLOSES: tuple[Callable[[Client], None], ...] = (half_close, Client.reset)
@@ -39,9 +39,9 @@
 async def wait_until_gone(rig: Rig, client: Client) -> None:
     """Waits until the proxy has read the client's close and its clock has advanced."""
     port = client.writer.get_extra_info("sockname")[1]
-    await until(lambda: all(c.half_closed for c in rig.host.frontend.clients if peer_port(c) == port))
+    await wait_until(lambda: all(c.half_closed for c in rig.host.frontend.clients if peer_port(c) == port))
     then = rig.host.clock.now()
-    await until(lambda: rig.host.clock.now() > then)
+    await wait_until(lambda: rig.host.clock.now() > then)
 
 
 def peer_port(client: client_module.ClientConnection) -> int:
@@ -56,12 +56,12 @@
         self.open = asyncio.Event()
         self.then = then
 
-    async def __call__(self, request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def __call__(self, request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await self.open.wait()
         await self.then(request, writer)
 
 
-async def reset_connection(request: Seen, writer: asyncio.StreamWriter) -> None:
+async def reset_connection(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
@@ -75,12 +75,12 @@
             dials = HeldDials(rig)
             client = await rig.connect()
             client.send()
-            await until(lambda: dials.waiting)
+            await wait_until(lambda: dials.waiting)
             end(client)
             await wait_until_gone(rig, client)
             dials.released.set()
             await assert_all_finished(rig)
-            assert rig.sent == 0
+            assert rig.forwarded_count == 0
 
     run(test())
 
@@ -91,7 +91,7 @@
             dials = HeldDials(rig)
             client = await rig.connect()
             client.send(X_Call_Class="once", method="PUT", body=b"paid")
-            await until(lambda: dials.waiting)
+            await wait_until(lambda: dials.waiting)
             half_close(client)
             await wait_until_gone(rig, client)
             dials.released.set()
@@ -99,7 +99,7 @@
             assert response is not None and response.status == 503
             assert await client.reader.read() == b""
             await assert_all_finished(rig)
-            assert rig.sent == 0
+            assert rig.forwarded_count == 0
 
     run(test())
 
@@ -112,16 +112,16 @@
     async def test() -> None:
         gate = Gate(reset_connection)
         async with make_rig(gate, gate, gate, cancel=cancel) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
             client.send()
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             end(client)
             await wait_until_gone(rig, client)
             gate.open.set()
-            await until(lambda: outcomes)
+            await wait_until(lambda: outcomes)
             await assert_all_finished(rig)
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
 
     run(test())
 
@@ -138,19 +138,19 @@
     async def test() -> None:
         gate = Gate(reset_connection)
         async with make_rig(gate, gate, gate, cancel=cancel) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
             client.send()
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             node = next(writer for node in rig.nodes for writer in node.open)
             for writer in (node, client.writer):  # both closes are in the kernel before the process continues
                 with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as same:
                     same.shutdown(socket.SHUT_WR)
             time.sleep(STALL_S)
-            await until(lambda: outcomes)
+            await wait_until(lambda: outcomes)
             gate.open.set()
             await assert_all_finished(rig)
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
 
     run(test())
 
@@ -161,7 +161,7 @@
         async with make_rig(gate) as rig:
             client = await rig.connect()
             client.send()
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             half_close(client)
             await wait_until_gone(rig, client)
             gate.open.set()
@@ -177,7 +177,7 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def gated(request: Seen, writer: asyncio.StreamWriter) -> None:
+        async def gated(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             if "held" in request.line:
                 await gate.wait()
             await serve_value(request, writer)
@@ -186,17 +186,17 @@
             rig.host.balancer.fleet.class_latency_ms["read"] = 50.0  # a hedge is due after 150 ms
             client, other = await rig.connect(), await rig.connect()
             client.send(path="/api/00aa?held")
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             number = next(iter(rig.host.active_requests))
             end(client)
             await wait_until_gone(rig, client)
             copies = rig.host.balancer.hedges
             while any(asked == number for _, asked in copies.queue):  # later ones are served: no queue
-                await other.ask(path="/api/00aa")
-            assert sum("held" in s.line for node in rig.nodes for s in node.seen) == 1
+                await other.request(path="/api/00aa")
+            assert sum("held" in s.line for node in rig.nodes for s in node.received) == 1
             gate.set()
             await assert_all_finished(rig)
-            assert sum("held" in s.line for node in rig.nodes for s in node.seen) == 1
+            assert sum("held" in s.line for node in rig.nodes for s in node.received) == 1
 
     run(test())
 
@@ -213,12 +213,12 @@
             client = await rig.connect()
             for _ in range(3 * MAX_PIPELINED):
                 client.send()
-            await until(lambda: any(c.pipeline_full for c in rig.host.frontend.clients) and rig.sent)
+            await wait_until(lambda: any(c.pipeline_full for c in rig.host.frontend.clients) and rig.forwarded_count)
             end(client)
-            await until(lambda: all(c.has_left(rig.host.clock.now()) for c in rig.host.frontend.clients))
+            await wait_until(lambda: all(c.has_left(rig.host.clock.now()) for c in rig.host.frontend.clients))
             gate.open.set()
             await assert_all_finished(rig)
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
 
     run(test())
 
@@ -232,17 +232,17 @@
     async def test() -> None:
         async with make_rig(serve_value) as rig:
             client = await rig.connect()
-            assert (await client.ask()).status == 200  # leaves an idle connection to the node
+            assert (await client.request()).status == 200  # leaves an idle connection to the node
             stalls = rig.host.stalls
             then = stalls.last_running_at
-            await until(lambda: stalls.last_running_at > then)
+            await wait_until(lambda: stalls.last_running_at > then)
             client.send()
             half_close(client)
             time.sleep(STALL_S)
             response = await client.receive()
             assert response is not None and response.status == 503
             await assert_all_finished(rig)
-            assert rig.sent == 1 and rig.host.metrics.classes["read"].departed == 1
+            assert rig.forwarded_count == 1 and rig.host.metrics.classes["read"].departed == 1
 
     run(test())
 
--- a/tests/crossings/test_close.py
+++ b/tests/crossings/test_close.py
@@ -14,7 +14,7 @@
 from notchflow.net import frontend
 from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
-from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
+from tests.rig import Rig, HttpMessage, answer, run, serve_value, intercept_stop, wait_until
 
 ASK = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 7\r\nX-Call-Class: read\r\nX-Budget: 5.0\r\n\r\n"
 LAST = ASK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
@@ -47,7 +47,7 @@
     """A connection that has received one response and is idle."""
     raw = Raw(rig)
     raw.send(ASK)
-    await until(lambda: rig.host.frontend.idle and rig.sent and not rig.host.active_requests)
+    await wait_until(lambda: rig.host.frontend.idle and rig.forwarded_count and not rig.host.active_requests)
     assert (await raw.read()).startswith(b"HTTP/1.1 200")
     return raw
 
@@ -55,7 +55,7 @@
 def test_a_request_that_is_unread_at_shutdown_is_answered() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            ended = stopped(rig.host)
+            ended = intercept_stop(rig.host)
             raw = await idle_client(rig)
             rig.host.stop()
             raw.send(ASK)  # in the kernel, not read yet
@@ -63,7 +63,7 @@
             data = await raw.read(until_end=True)
             assert data.startswith(b"HTTP/1.1 200") and b"Connection: close" in data
             raw.sock.close()
-            await until(lambda: ended)
+            await wait_until(lambda: ended)
             await assert_all_finished(rig)
 
     run(test())
@@ -78,7 +78,7 @@
     async def test() -> None:
         async with Rig() as rig:
             raw = await idle_client(rig) if asked_before else Raw(rig)
-            await until(lambda: rig.host.frontend.idle)
+            await wait_until(lambda: rig.host.frontend.idle)
             raw.send(ASK)  # in the kernel, not read yet
             rig.host.frontend.sweep(rig.host.clock.now() + client_module.IDLE_TIMEOUT_MS + 1.0)
             assert (await raw.read()).startswith(b"HTTP/1.1 200")
@@ -91,17 +91,17 @@
 def test_a_request_after_the_close_is_not_forwarded_and_sees_an_end_not_a_reset() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            ended = stopped(rig.host)
+            ended = intercept_stop(rig.host)
             raw = await idle_client(rig)
             rig.host.stop()
             rig.host._drain()
             raw.send(ASK)  # the connection is being closed
             assert await raw.read(until_end=True) == b""
-            sent = rig.sent
+            sent = rig.forwarded_count
             raw.sock.close()
-            await until(lambda: ended)
+            await wait_until(lambda: ended)
             await assert_all_finished(rig)
-            assert rig.sent == sent == 1
+            assert rig.forwarded_count == sent == 1
 
     run(test())
 
@@ -110,16 +110,16 @@
     async def test() -> None:
         gate = Gate(serve_value)
         async with Rig(gate) as rig:
-            ended = stopped(rig.host)
+            ended = intercept_stop(rig.host)
             raw = Raw(rig)
             raw.send(3 * ASK)
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             rig.host.stop()
             gate.open.set()
             data = await raw.read(until_end=True)
             assert data.count(b"HTTP/1.1 200") == 3 and data.count(b"Connection: close") == 1
             raw.sock.close()
-            await until(lambda: ended)
+            await wait_until(lambda: ended)
             await assert_all_finished(rig)
 
     run(test())
@@ -128,7 +128,7 @@
 def test_a_response_in_flight_is_not_lost_to_data_behind_its_request() -> None:
     body = b"v" * 50_000
 
-    async def long(request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def long(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
         writer.write(answer(body))
 
@@ -138,7 +138,7 @@
         async with Rig(long) as rig:
             raw = Raw(rig)
             raw.send(LAST)
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             (client_connection,) = rig.host.frontend.clients
             assert client_connection.transport is not None
             client_connection.transport.pause_reading()  # further data stays unread
@@ -148,7 +148,7 @@
             assert data.endswith(body)
             raw.sock.close()
             await assert_all_finished(rig)
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
 
     run(test())
 
@@ -157,7 +157,7 @@
     put = ASK.replace(b"GET", b"PUT").replace(b"\r\n\r\n", b"\r\nContent-Length: 9\r\n\r\ntoo late.")
     half = b"v" * 50_000
 
-    async def in_two(request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def in_two(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(2 * half)[: -len(half)])
         await gate.wait()
         writer.write(half)
@@ -171,12 +171,12 @@
             raw.send(ASK)
             assert b"Connection: close" in await raw.read()
             raw.send(put)
-            await until(lambda: rig.host.buffered_bytes)
+            await wait_until(lambda: rig.host.buffered_bytes)
             gate.set()
             assert (await raw.read(until_end=True)).endswith(half)
             raw.sock.close()
             await assert_all_finished(rig)
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
 
     run(test())
 
@@ -188,16 +188,16 @@
         async with Rig() as rig:
             raw = Raw(rig)
             raw.send(LAST)
-            await until(lambda: any(c.closed_at < float("inf") for c in rig.host.frontend.clients))
+            await wait_until(lambda: any(c.closed_at < float("inf") for c in rig.host.frontend.clients))
             (client_connection,) = rig.host.frontend.clients
             client_connection.active_at = 0.0
             raw.send(1_000 * ASK)
-            await until(lambda: client_connection.active_at)
+            await wait_until(lambda: client_connection.active_at)
             monkeypatch.setattr(client_module, "LINGER_MS", -1.0)
             client_connection.close_if_timed_out(rig.host.clock.now())
-            await until(lambda: not rig.host.frontend.clients)
+            await wait_until(lambda: not rig.host.frontend.clients)
             await assert_all_finished(rig)
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
 
     run(test())
 
@@ -209,10 +209,10 @@
         async with Rig() as rig:
             raw, other = Raw(rig), await idle_client(rig)
             raw.send(LAST)
-            await until(lambda: rig.host.frontend.lingering)
+            await wait_until(lambda: rig.host.frontend.lingering)
             assert rig.host.frontend.close_idle()
             frontend = rig.host.frontend
-            await until(lambda: not frontend.lingering and len(frontend.clients) == 1)
+            await wait_until(lambda: not frontend.lingering and len(frontend.clients) == 1)
             assert frontend.clients.keys() == frontend.idle.keys()
             other.sock.close()
             await assert_all_finished(rig)
@@ -237,7 +237,7 @@
             node = next(iter(rig.host.pools))
             given = socket.create_connection(pool.address)
             rig.host.adopt_node_connection(given, node, "{}:{}".format(*pool.address), 1.0)
-            await until(lambda: len(pool.idle) == 2 and rig.host.frontend.idle)
+            await wait_until(lambda: len(pool.idle) == 2 and rig.host.frontend.idle)
             (client,) = rig.host.frontend.idle
             assert nodelay(client.transport) and all(nodelay(c.transport) for c in pool.idle)
             raw.sock.close()
--- a/tests/crossings/test_remaining_budget.py
+++ b/tests/crossings/test_remaining_budget.py
@@ -9,7 +9,7 @@
 
 from tests.crossings.forced import HeldDials, assert_all_finished
 from tests.crossings.test_client_gone import LIMITS, Gate, reset_connection
-from tests.rig import Rig, run, serve_value, until
+from tests.rig import Rig, run, serve_value, wait_until
 
 BUDGET_MS, WAIT_MS = 4_000.0, 60.0
 
@@ -26,13 +26,13 @@
             began = rig.host.clock.now()
             client = await rig.connect()
             client.send(X_Budget=f"{BUDGET_MS / 1e3}")
-            await until(lambda: dials.waiting == (2 if retry else 1))
+            await wait_until(lambda: dials.waiting == (2 if retry else 1))
             gate.then = serve_value
-            await until(lambda: rig.host.clock.now() > began + WAIT_MS)
+            await wait_until(lambda: rig.host.clock.now() > began + WAIT_MS)
             dials.released.set()
             response = await client.receive()
             assert response is not None and response.status == 200
-            budgets = [float(s.headers["x-budget"]) for n in rig.nodes for s in n.seen]
+            budgets = [float(s.headers["x-budget"]) for n in rig.nodes for s in n.received]
             assert len(budgets) == (2 if retry else 1)
             assert min(budgets) * 1e3 <= BUDGET_MS - WAIT_MS + 1, "rounded to a millisecond"
             await assert_all_finished(rig)
--- a/tests/crossings/test_repeats.py
+++ b/tests/crossings/test_repeats.py
@@ -11,7 +11,7 @@
 from notchflow.interface import Effect, Outcome, RequestClass, Status
 from tests.crossings.forced import HeldDials, assert_all_finished
 from tests.crossings.test_client_gone import LIMITS, reset_connection
-from tests.rig import Rig, Seen, run, serve_value, until
+from tests.rig import Rig, HttpMessage, run, serve_value, wait_until
 
 WINDOW_MS = 200.0
 KEYED = RequestClass("keyed", 5_000, 5_000, effect=Effect.KEYED, window_ms=WINDOW_MS)
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.was_reset = False
 
-    async def __call__(self, request: Seen, writer: asyncio.StreamWriter) -> None:
+    async def __call__(self, request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         if not self.was_reset:
             self.was_reset = True
             await reset_connection(request, writer)
@@ -38,20 +38,20 @@
         rig = Rig(reset_first, reset_first, classes=(KEYED,))
         rig.settings = replace(rig.settings, limits=LIMITS)
         async with rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
             dials = HeldDials(rig, free=1)
             client.send("PUT", body=b"once", X_Call_Class="keyed", Idempotency_Key="k1")
-            await until(lambda: dials.waiting)
+            await wait_until(lambda: dials.waiting)
             first = rig.host.clock.now()
-            await until(lambda: dials.waiting == 2)
-            assert rig.sent == 1 and [o.status for o in outcomes] == [Status.RESET]
+            await wait_until(lambda: dials.waiting == 2)
+            assert rig.forwarded_count == 1 and [o.status for o in outcomes] == [Status.RESET]
             if late:
-                await until(lambda: rig.host.clock.now() > first + WINDOW_MS)
+                await wait_until(lambda: rig.host.clock.now() > first + WINDOW_MS)
             dials.released.set()
             response = await client.receive()
             assert response is not None and response.status == (503 if late else 200)
-            assert rig.sent == (1 if late else 2)
+            assert rig.forwarded_count == (1 if late else 2)
             await assert_all_finished(rig)
 
     run(test())
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -23,7 +23,7 @@
 from notchflow.net.node_list import decode_node_list
 from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
-from tests.rig import Rig, run, serve_value, until
+from tests.rig import Rig, run, serve_value, wait_until
 
 ONE = Settings(
     classes=(RequestClass("look", 300, 4_000), RequestClass("buy", 300, 2_000, effect=Effect.UNSAFE)),
@@ -117,16 +117,16 @@
         async with rig:
             client = await rig.connect()
             client.send("PUT", body=b"paid", X_Call_Class="buy")
-            await until(lambda: rig.sent)
+            await wait_until(lambda: rig.forwarded_count)
             rig.host.reload(replace(rig.host.config, settings=OTHER))
             (pending,) = rig.host.balancer.pending.values()
             assert pending.cls.effect is Effect.UNSAFE and pending.max_attempts == 2
-            assert (await rig.ask(X_Call_Class="buy")).status == 503, "an unknown class now"
-            assert rig.sent == 1
+            assert (await rig.request(X_Call_Class="buy")).status == 503, "an unknown class now"
+            assert rig.forwarded_count == 1
             gate.open.set()
             response = await client.receive()
             assert response is not None and response.status == 200
-            assert (await rig.ask(X_Call_Class="find")).status == 200
+            assert (await rig.request(X_Call_Class="find")).status == 200
             text = rig.host.metrics_text()
             assert 'class="find"' in text or 'priority="find"' in text
             for _ in range(3):  # no timer of the old settings has an effect
--- a/tests/door/test_hosted_door.py
+++ b/tests/door/test_hosted_door.py
@@ -245,7 +245,7 @@
             client.writer.write(build(rig))
             seen = await client.receive()
             assert seen is not None and seen.status == status, seen
-            got = rig.nodes[0].seen
+            got = rig.nodes[0].received
             assert [s.line for s in got] == ([line] if line else [])
             for name, value in expected.items():
                 assert got[0].headers.get(name, "") == value
--- a/tests/door/test_platform_door.py
+++ b/tests/door/test_platform_door.py
@@ -187,12 +187,12 @@
             client.writer.write(data)
             seen = await client.receive()
             assert seen is not None and seen.status == status
-            got = rig.nodes[0].seen
+            got = rig.nodes[0].received
             assert [s.line for s in got] == ([line] if line else [])
             for name, value in fields.items():
                 assert got[0].headers.get(name, "") == value
             if got:
                 assert got[0].body == body
-            assert (await rig.ask()).status == 200, "other clients are served as before"
+            assert (await rig.request()).status == 200, "other clients are served as before"
 
     run(test())
--- a/tests/effects/test_service.py
+++ b/tests/effects/test_service.py
@@ -17,7 +17,7 @@
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Engine
 from standins.faulty_files import FaultyFiles
-from tests.rig import run, until
+from tests.rig import run, wait_until
 from tests.store.test_commit import BlockedSync
 from tests.store.model import SMALL
 
@@ -79,16 +79,16 @@
 def test_a_full_disk_sheds_payments_unsent_and_accepts_them_once_there_is_space() -> None:
     async def test() -> None:
         harness = Harness(FaultyFiles())
-        harness.files.capacity = sum(len(i.seen) for i in harness.files.files.values()) + 10
+        harness.files.capacity = sum(len(i.visible) for i in harness.files.files.values()) + 10
         asked = [harness.ask(b"o-%d" % n) for n in range(200)]
-        await until(lambda: all(client.replies or reply for _, client, reply in asked))
+        await wait_until(lambda: all(client.replies or reply for _, client, reply in asked))
         assert {reply or client.replies[0] for _, client, reply in asked} == {BUSY}
         assert harness.sent == [] and harness.service.tracker.active == {} and harness.timers == {}
         assert harness.service.refused == 200 and harness.service.metrics()["store"] == "full"
         harness.files.capacity = None
         for n in range(200):
             assert harness.ask(b"o-%d" % n)[2] is None
-        await until(lambda: len(harness.sent) == 200)
+        await wait_until(lambda: len(harness.sent) == 200)
         assert harness.service.metrics()["store"] == "open"
         harness.store.stop()
 
@@ -100,7 +100,7 @@
         harness = Harness(FaultyFiles())
         harness.files.errors = {harness.files.operations + 2: errno.EIO}
         _, client, reply = harness.ask(b"o-1")
-        await until(lambda: client.replies)
+        await wait_until(lambda: client.replies)
         assert reply is None and client.replies == [BUSY]
         for cls in ("pay", "slot"):
             assert harness.ask(b"o-2", cls)[2] is BUSY
@@ -124,10 +124,10 @@
         guard.ended(503, False)
         assert harness.ask(b"o-1")[2] is not BUSY, "the key is active until the write has ended"
         blocked.go.set()
-        await until(lambda: not harness.service.tracker.active)
+        await wait_until(lambda: not harness.service.tracker.active)
         assert harness.sent == []
         assert harness.ask(b"o-1")[2] is None
-        await until(lambda: harness.sent == [b"o-1"])
+        await wait_until(lambda: harness.sent == [b"o-1"])
         harness.store.stop()
 
     run(test())
@@ -143,9 +143,9 @@
         guard, _, _ = harness.ask(b"o-1")
         guard.ended(0, False)
         blocked.go.set()
-        await until(lambda: not harness.service.tracker.active)
+        await wait_until(lambda: not harness.service.tracker.active)
         assert harness.sent == [] and harness.timers == {}
-        await until(lambda: not harness.store.contains(b"o-1"))
+        await wait_until(lambda: not harness.store.contains(b"o-1"))
         harness.store.stop()
 
     run(test())
@@ -157,15 +157,15 @@
     async def test() -> None:
         harness = Harness(FaultyFiles())
         first, _, _ = harness.ask(b"o-1")
-        await until(lambda: harness.sent)
+        await wait_until(lambda: harness.sent)
         second, _, reply = harness.ask(b"o-1")
         assert reply is not None and reply.status == 409
         second.ended(409, False)
         assert harness.ask(b"o-1")[2] is not None, "the first is still running"
         first.ended(200, True)
-        await until(lambda: not harness.service.tracker.active)
+        await wait_until(lambda: not harness.service.tracker.active)
         _, client, reply = harness.ask(b"o-1")
-        await until(lambda: client.replies)
+        await wait_until(lambda: client.replies)
         assert reply is None and client.replies[0].status == 200 and b"served" in client.replies[0].body
         harness.store.stop()
 
@@ -182,14 +182,14 @@
         effect = Effect(Fate.SERVED, b"f" * 16, 7, 1, 200).encode()
         changes = [Change(Record.PUT, b"odd", b"?"), Change(Record.PUT, b"bent", effect)]
         harness.store.submit(changes, done.append)
-        await until(lambda: done)
+        await wait_until(lambda: done)
         entry = harness.store.engine.index.get(b"bent")
         assert entry is not None
         name = next(n for n in harness.files.files if n.endswith(".log"))
-        harness.files.files[name].seen[entry.offset + entry.length - 1] ^= 1
+        harness.files.files[name].visible[entry.offset + entry.length - 1] ^= 1
         for key in (b"odd", b"bent"):
             _, client, reply = harness.ask(key)
-            await until(lambda c=client: c.replies)  # type: ignore[misc]
+            await wait_until(lambda c=client: c.replies)  # type: ignore[misc]
             assert reply is None and client.replies == [BUSY]
         assert harness.sent == [] and harness.service.tracker.active == {}
         harness.store.stop()
@@ -203,14 +203,14 @@
         guard, _, reply = harness.ask(b"s-1", "slot")
         assert reply is None and harness.sent == [b"s-1"], "the disk is not waited for"
         guard.ended(502, True)
-        await until(lambda: not harness.service.tracker.active)
+        await wait_until(lambda: not harness.service.tracker.active)
         harness.now += 400
         _, client, _ = harness.ask(b"s-1", "slot")
-        await until(lambda: len(harness.sent) == 2)
+        await wait_until(lambda: len(harness.sent) == 2)
         harness.service.tracker.active.clear()
         harness.now += 400
         _, client, _ = harness.ask(b"s-1", "slot")
-        await until(lambda: client.replies)
+        await wait_until(lambda: client.replies)
         assert (
             client.replies[0].status == 409 and len(harness.sent) == 2
         ), "the deduplication window has closed"
--- a/tests/faults/test_lists.py
+++ b/tests/faults/test_lists.py
@@ -18,9 +18,9 @@
 import pytest
 
 from notchflow.net.watch import RENEWAL_RANGE_MS
-from standins.discovery import Registry, member
+from standins.discovery import StandInDiscovery, node_entry
 from standins.ports import free_ports
-from tests.rig import Client, Peer, Seen, answer, run, until
+from tests.rig import Client, Peer, HttpMessage, answer, run, wait_until
 
 PROXIES, NODES = 4, 7
 GRACE_S = 0.25
@@ -36,7 +36,7 @@
 
     folder: Path
     mode: str  # the setting MembershipMode
-    registry: Registry = field(default_factory=Registry)
+    registry: StandInDiscovery = field(default_factory=StandInDiscovery)
     sent: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
     nodes: dict[str, Peer] = field(default_factory=dict)
     processes: dict[int, subprocess.Popen[bytes]] = field(default_factory=dict)
@@ -50,14 +50,14 @@
             name = f"box-{number}"
             self.sent[name] = []
 
-            async def serve(seen: Seen, writer: asyncio.StreamWriter, name: str = name) -> None:
+            async def serve(seen: HttpMessage, writer: asyncio.StreamWriter, name: str = name) -> None:
                 self.sent[name].append((time.monotonic(), seen.headers["x-caller"]))
                 writer.write(answer(b"value"))
 
             self.nodes[name] = node = Peer(serve)
             await node.start()
-            await self.registry.put(member(name, f"127.0.0.1:{node.port}"))
-        self.known = self.registry.listing(None)
+            await self.registry.put(node_entry(name, f"127.0.0.1:{node.port}"))
+        self.known = self.registry.node_list(None)
         for number in range(PROXIES):
             self.start(number)
         for number in range(PROXIES):
@@ -95,7 +95,7 @@
         while True:
             try:
                 client = Client(*await asyncio.open_connection("127.0.0.1", self.ports[number]))
-                if (await client.ask(path="/health/ready")).status == 200:
+                if (await client.request(path="/health/ready")).status == 200:
                     return
             except OSError:
                 pass
@@ -108,7 +108,7 @@
         while True:
             asked += 1
             try:
-                seen = await client.ask(path=f"/api/{asked * 2654435761 % 2**64:016x}", x_caller=process_name)
+                seen = await client.request(path=f"/api/{asked * 2654435761 % 2**64:016x}", x_caller=process_name)
             except (AssertionError, ConnectionError):
                 return
             self.answers[number] += seen.status == 200
@@ -148,21 +148,21 @@
         with fleet(tmp_path, "pushed") as proxies:
             await proxies.start_all()
             loads = [asyncio.create_task(proxies.load(n)) for n in range(PROXIES)]
-            await until(lambda: all(proxies.sent[node] for node in proxies.nodes))
+            await wait_until(lambda: all(proxies.sent[node] for node in proxies.nodes))
 
             assert proxies.registry.silence() >= PROXIES
             silent_since = time.monotonic()
-            await proxies.registry.phase("box-0", "draining")
+            await proxies.registry.set_phase("box-0", "draining")
             await check_silence(proxies, "box-0", silent_since + MISSED_AFTER_S)
 
             proxies.registry.reset()
-            await proxies.registry.phase("box-1", "draining")
+            await proxies.registry.set_phase("box-1", "draining")
             await check_silence(proxies, "box-1", time.monotonic())
 
-            proxies.registry.up.clear()
-            await proxies.registry.phase("box-2", "draining")
+            proxies.registry.available.clear()
+            await proxies.registry.set_phase("box-2", "draining")
             await asyncio.sleep(DOWN_S)
-            proxies.registry.up.set()
+            proxies.registry.available.set()
             await check_silence(proxies, "box-2", time.monotonic())
 
             proxies.processes[0].kill()
@@ -170,7 +170,7 @@
             proxies.start(0)
             await proxies.ready(0)
             loads[0] = asyncio.create_task(proxies.load(0))
-            await until(lambda: proxies.answers[0] >= 100)
+            await wait_until(lambda: proxies.answers[0] >= 100)
             new = [node for node, sent in proxies.sent.items() if any(who == "n0.2" for _, who in sent)]
             assert new and not {"box-0", "box-1", "box-2"} & set(new), "its first list was outdated"
             assert all(proxies.answers[n] > 200 for n in range(1, PROXIES))
@@ -187,10 +187,10 @@
         with fleet(tmp_path, "on_request") as proxies:
             await proxies.start_all()
             loads = [asyncio.create_task(proxies.load(n)) for n in range(PROXIES)]
-            await until(lambda: len(proxies.registry.writers) == PROXIES)
+            await wait_until(lambda: len(proxies.registry.writers) == PROXIES)
             proxies.registry.silence()
             silent_since = time.monotonic()
-            await proxies.registry.phase("box-0", "draining")
+            await proxies.registry.set_phase("box-0", "draining")
             await asyncio.sleep(RENEWAL_RANGE_MS[0] / 1e3 - 2.0)
             assert {who for at, who in proxies.sent["box-0"] if at > silent_since + GRACE_S + BUSY_S} == {
                 f"n{n}.1" for n in range(PROXIES)
--- a/tests/faults/test_processes.py
+++ b/tests/faults/test_processes.py
@@ -27,11 +27,11 @@
 
 
 def play(
-    folder: Path, plan: Schedule, rate: float = RATE, limits: Limits | None = None, more: str = ""
+    folder: Path, plan: Schedule, rate: float = RATE, limits: Limits | None = None, extra_settings: str = ""
 ) -> Outcome:
-    outcome = asyncio.run(Rig(folder, plan, rate, more, limits).play())
-    assert outcome.broken == [], describe(plan, outcome)
-    assert served(outcome) > (0.5 if limits is None else 0.1) * outcome.asked > 0
+    outcome = asyncio.run(Rig(folder, plan, rate, extra_settings, limits).play())
+    assert outcome.violations == [], describe(plan, outcome)
+    assert served(outcome) > (0.5 if limits is None else 0.1) * outcome.request_count > 0
     return outcome
 
 
@@ -59,10 +59,10 @@
         {"kind": "restart", "who": ["p3"], "at_s": 4.0},
     )
     outcome = play(tmp_path, plan)
-    ((delays, _),) = checks.deaths(outcome.lines)
+    ((delays, _),) = checks.detection_delays(outcome.lines)
     assert delays.keys() == {"p1", "p3", "p4", "p5"}
     assert checks.check_detection(outcome.lines, outcome.bounds, SLACK_MS) == []
-    assert checks.nobody_buried_alive(outcome.lines) == [], "a member paused for 300 ms was declared dead"
+    assert checks.check_no_false_deaths(outcome.lines) == [], "a member paused for 300 ms was declared dead"
     left = {line["who"] for line in outcome.lines if line["what"] == "left" and line["subject"] == "p3"}
     assert left == {"p1", "p2", "p4", "p5"}
     assert not [line for line in outcome.lines if line["what"] == "dead" and line["subject"] == "p3"]
@@ -93,7 +93,7 @@
 def test_an_instance_that_cannot_write_serves_reads_and_runs_no_payment(tmp_path: Path) -> None:
     """A payment runs only after its intent is durable; if that fails, it is rejected and does not run."""
     plan = make_schedule(3, 3.5, {"kind": "disk", "who": ["p2"], "at_s": 1.0, "for_s": 2.0})
-    outcome = play(tmp_path, plan, 40.0, more="[effects]")
+    outcome = play(tmp_path, plan, 40.0, extra_settings="[effects]")
     began_at, ended_at = (
         next(line["t"] for line in outcome.lines if line["what"] == what and "kind" in line)
         for what in ("fault", "healed")
@@ -124,7 +124,7 @@
 def test_separate_limits_of_each_instance_exceed_the_shared_limit(tmp_path: Path) -> None:
     limits = Limits(rate_per_s=50.0, burst=25.0)
     outcome = asyncio.run(Rig(tmp_path, make_schedule(4, 6.0), 30.0, 'limits = "instance"', limits).play())
-    assert {broken.rule for broken in outcome.broken} == {"within-limit"}
+    assert {broken.rule for broken in outcome.violations} == {"within-limit"}
 
 
 @pytest.mark.skipif(not LONG, reason="minutes: NOTCHFLOW_LONG=1")
--- a/tests/faults/test_rules.py
+++ b/tests/faults/test_rules.py
@@ -25,7 +25,7 @@
 
 def play(folder: Path, plan: Schedule) -> Outcome:
     outcome = asyncio.run(Rig(folder, plan, 5.0, FLEET_RULES).play())
-    assert outcome.broken == [], "\n".join([plan.toml(), *format_lines(outcome.lines, 60)])
+    assert outcome.violations == [], "\n".join([plan.toml(), *format_lines(outcome.lines, 60)])
     done = [call for call in versions.administrative_calls(outcome.lines) if call.status == 200]
     assert {call.kind for call in done} == {"change", "read"}
     restored_at = next(line["t"] for line in outcome.lines if line["what"] == "whole")
--- a/tests/faults/test_schedule.py
+++ b/tests/faults/test_schedule.py
@@ -190,12 +190,12 @@
 
 def test_a_running_member_that_is_declared_dead_is_found() -> None:
     valid = [line(0, "rig", "killed", subject="p3"), line(1, "p1", "dead", subject="p3")]
-    assert checks.nobody_buried_alive(valid) == []
-    assert violated_rules(checks.nobody_buried_alive([*valid, line(2, "p1", "dead", subject="p2")])) == {
+    assert checks.check_no_false_deaths(valid) == []
+    assert violated_rules(checks.check_no_false_deaths([*valid, line(2, "p1", "dead", subject="p2")])) == {
         "nobody-buried-alive"
     }
     again = [*valid, line(2, "rig", "started", subject="p3"), line(3, "p1", "dead", subject="p3")]
-    assert len(checks.nobody_buried_alive(again)) == 1
+    assert len(checks.check_no_false_deaths(again)) == 1
 
 
 def test_views_that_converge_late_or_never_are_found() -> None:
--- a/tests/hosting/rig.py
+++ b/tests/hosting/rig.py
@@ -13,9 +13,9 @@
 import httpx
 
 from notchflow.hosting.service import TOKEN_FILE
-from standins.discovery import Registry, member
+from standins.discovery import StandInDiscovery, node_entry
 from standins.ports import free_ports
-from tests.rig import Client, Peer, Script, Seen, answer, serve_value
+from tests.rig import Client, Peer, Script, HttpMessage, answer, serve_value
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 CONFIG = """
@@ -81,7 +81,7 @@
     def __init__(self) -> None:
         self.requests: list[asyncio.Event] = []
 
-    async def __call__(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def __call__(self, seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         self.requests.append(asyncio.Event())
         await self.requests[-1].wait()
         writer.write(answer())
@@ -100,7 +100,7 @@
     ) -> None:
         self.folder, self.file = folder, folder / "service.toml"
         self.boxes = [Peer(script) for script in scripts or (serve_value,)]
-        self.registry = Registry()
+        self.registry = StandInDiscovery()
         self.port, self.second, self.admin_port = free_ports(3)
         self.rate, self.service_lines, self.admin_lines = rate, service, admin
         self.process: subprocess.Popen[bytes] | None = None
@@ -124,7 +124,7 @@
         await self.registry.start()
         for number, box in enumerate(self.boxes):
             await box.start()
-            await self.registry.put(member(f"s-{number}", f"127.0.0.1:{box.port}"))
+            await self.registry.put(node_entry(f"s-{number}", f"127.0.0.1:{box.port}"))
         self.write()
         await self.start()
         return self
@@ -162,7 +162,7 @@
                 await http.get(f"http://127.0.0.1:{self.admin_port}/openapi.json")
         except httpx.HTTPError:
             return False
-        return readiness.status_code == 200 and len(self.registry.told) == len(self.boxes)
+        return readiness.status_code == 200 and len(self.registry.written_at) == len(self.boxes)
 
     async def kill(self) -> None:
         """Sends SIGKILL and waits for the end."""
@@ -170,7 +170,7 @@
         self.process.kill()
         await asyncio.to_thread(self.process.wait)
         await self.api.aclose()
-        self.registry.told.clear()
+        self.registry.written_at.clear()
 
     def signal(self, number: signal.Signals) -> None:
         assert self.process is not None
@@ -226,7 +226,7 @@
             f"{length}\r\n"
         ).encode() + body
 
-    async def ask(self, tenant: str, client: Client | None = None, **more: Any) -> Seen:
+    async def ask(self, tenant: str, client: Client | None = None, **more: Any) -> HttpMessage:
         client = client or await self.connect()
         client.writer.write(self.request(tenant, **more))
         seen = await client.receive()
@@ -234,8 +234,8 @@
         return seen
 
     @property
-    def sent(self) -> list[Seen]:
-        return [seen for box in self.boxes for seen in box.seen]
+    def sent(self) -> list[HttpMessage]:
+        return [seen for box in self.boxes for seen in box.received]
 
     async def __aexit__(
         self, kind: type[BaseException] | None, value: BaseException | None, trace: TracebackType | None
--- a/tests/hosting/test_cluster.py
+++ b/tests/hosting/test_cluster.py
@@ -15,8 +15,8 @@
 from notchflow.hosting.file import InvalidFileError, decode
 from notchflow.hosting.fleet import Fleet
 from notchflow.tenancy.model import Limits
-from standins.box import Box, Work
-from standins.discovery import Registry, member
+from standins.node import StandInNode, NodeProfile
+from standins.discovery import StandInDiscovery, node_entry
 from tests.hosting.rig import ROOT
 from tests.rig import run
 
@@ -98,7 +98,7 @@
 
 def test_an_address_in_use_ends_the_start_with_an_error(tmp_path: Path) -> None:
     async def test() -> None:
-        registry = Registry()
+        registry = StandInDiscovery()
         await registry.start()
         fleet = Fleet(tmp_path, 2, registry.address, ["alfa"])
         fleet.prepare()
@@ -124,7 +124,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        registry = Registry()
+        registry = StandInDiscovery()
         await registry.start()
         fleet = Fleet(tmp_path, 2, registry.address, ["alfa"])
         fleet.prepare()
@@ -147,11 +147,11 @@
     """The limit is six; two instances get ten requests each at once, for a slow node."""
 
     async def test() -> None:
-        registry = Registry()
+        registry = StandInDiscovery()
         await registry.start()
-        box = Box("box-1", Work(1.5, 64, 16))
+        box = StandInNode("box-1", NodeProfile(1.5, 64, 16))
         await box.start()
-        await registry.put(member(box.name, box.address))
+        await registry.put(node_entry(box.name, box.address))
         fleet = Fleet(tmp_path, 2, registry.address, ["alfa"], limits=Limits(1_000.0, 1_000.0, in_hand=6))
         fleet.prepare()
         await fleet.start()
@@ -219,7 +219,7 @@
 
 def test_one_instance_shows_the_fleet_by_its_api_its_console_and_the_command_line(tmp_path: Path) -> None:
     async def test() -> None:
-        registry = Registry()
+        registry = StandInDiscovery()
         await registry.start()
         fleet = Fleet(tmp_path, 3, registry.address, ["alfa"])
         fleet.prepare()
--- a/tests/hosting/test_effects.py
+++ b/tests/hosting/test_effects.py
@@ -10,14 +10,14 @@
 
 from standins.ports import free_ports
 from tests.hosting.rig import HeldResponses, Service
-from tests.rig import Client, Seen, answer, run, serve_value, until
+from tests.rig import Client, HttpMessage, answer, run, serve_value, wait_until
 
 EFFECTS_SECTION = "[effects]\nunsafe_s = 3600.0\nkeyed_s = 600.0\nsegment_mb = 0.25"
 PAY = {"method": "POST", "path": "/orders/d1/pay", "body": b"due=1"}
 KILLS = 100 if os.environ.get("NOTCHFLOW_LONG") else 6
 
 
-async def pay(service: Service, key: str, client: Client | None = None, **more: object) -> Seen:
+async def pay(service: Service, key: str, client: Client | None = None, **more: object) -> HttpMessage:
     return await service.ask("alfa", client, **(PAY | {"key": key} | more))
 
 
@@ -25,7 +25,7 @@
     """A client whose payment is in hand at a node that does not answer."""
     client = await service.connect()
     client.writer.write(service.request("alfa", **PAY, key="o-1"))  # type: ignore[arg-type]
-    await until(lambda: held.requests)
+    await wait_until(lambda: held.requests)
     return client
 
 
@@ -92,10 +92,10 @@
 
 def test_a_rejected_payment_may_be_repeated_and_one_that_was_reset_may_not(tmp_path: Path) -> None:
     async def test() -> None:
-        async def full(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def full(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"", "503 Service Unavailable", X_Rejected="1"))
 
-        async def breaks(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def breaks(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
         async with Service(tmp_path, full, service=EFFECTS_SECTION) as service:
@@ -166,7 +166,7 @@
     def __init__(self, seed: int) -> None:
         self.rng, self.ran = random.Random(seed), Counter[str]()
 
-    async def __call__(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def __call__(self, seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         draw = self.rng.random()
         if draw < 0.1:
             writer.write(answer(b"", "503 Service Unavailable", X_Rejected="1"))
--- a/tests/hosting/test_service.py
+++ b/tests/hosting/test_service.py
@@ -12,7 +12,7 @@
 
 from standins.ports import free_ports
 from tests.hosting.rig import HeldResponses, Service
-from tests.rig import Seen, read_message, run, serve_value, until
+from tests.rig import HttpMessage, read_message, run, serve_value, wait_until
 
 LONG = 60.0
 
@@ -66,7 +66,7 @@
         async with Service(tmp_path, hold) as service:
             await service.add("alfa")
             asking = asyncio.create_task(service.ask("alfa"))
-            await until(lambda: held)
+            await wait_until(lambda: held)
             assert (await service.change("alfa", "DELETE")).json()["state"] == "retiring"
             refused = await service.ask("alfa")
             assert refused.status == 403 and b"tenant-retiring" in refused.body
@@ -103,22 +103,22 @@
                     await service.add(f"guest-{number}")
 
             clients = [asyncio.create_task(send_requests(i)) for i in range(8)]
-            await until(lambda: all(len(box.seen) > 20 for box in service.boxes))
-            service.registry.told.clear()
+            await wait_until(lambda: all(len(box.received) > 20 for box in service.boxes))
+            service.registry.written_at.clear()
             calls = asyncio.create_task(administrate())
-            await service.registry.phase("s-0", "draining")
-            await until(lambda: "s-0" in service.registry.told)
-            while service.registry.told["s-0"] + 0.25 > asyncio.get_running_loop().time():
+            await service.registry.set_phase("s-0", "draining")
+            await wait_until(lambda: "s-0" in service.registry.written_at)
+            while service.registry.written_at["s-0"] + 0.25 > asyncio.get_running_loop().time():
                 await asyncio.sleep(0.005)
-            after_grace = len(service.boxes[0].seen)
+            after_grace = len(service.boxes[0].received)
             boxes = {b["id"]: b for b in (await service.api.get("/v1/boxes")).json()["items"]}
             assert boxes["s-0"]["state"] == "draining" and boxes["s-1"]["state"] == "ready"
             await calls
-            more = len(service.boxes[1].seen)
-            await until(lambda: len(service.boxes[1].seen) > more + 50)
+            more = len(service.boxes[1].received)
+            await wait_until(lambda: len(service.boxes[1].received) > more + 50)
             stopped.set()
             await asyncio.gather(*clients)
-            assert len(service.boxes[0].seen) == after_grace, "no new request after the grace period"
+            assert len(service.boxes[0].received) == after_grace, "no new request after the grace period"
 
     run(test(), LONG)
 
@@ -134,7 +134,7 @@
             await service.add("alfa")
             client = await service.connect()
             client.writer.write(service.request("alfa"))
-            await until(lambda: held)
+            await wait_until(lambda: held)
             key = (await service.api.get("/v1/tenants/alfa/keys")).json()["items"][0]["id"]
             assert (await service.api.delete(f"/v1/tenants/alfa/keys/{key}")).status_code == 204
             held[0].set()
@@ -144,7 +144,7 @@
             old = service.tokens["alfa"]
             await service.issue("alfa")
             asking = asyncio.create_task(service.ask("alfa", client))
-            await until(lambda: len(held) == 2)
+            await wait_until(lambda: len(held) == 2)
             held[1].set()
             assert (await asking).status == 200
             assert old not in service.log and service.tokens["alfa"] not in service.log
@@ -200,7 +200,7 @@
 
 
 def test_a_retirement_interrupted_by_a_kill_is_finished_at_the_start(tmp_path: Path) -> None:
-    async def hang(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def hang(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(LONG)
 
     async def test() -> None:
@@ -208,7 +208,7 @@
             await service.add("alfa")
             client = await service.connect()
             client.writer.write(service.request("alfa"))
-            await until(lambda: service.sent)
+            await wait_until(lambda: service.sent)
             assert (await service.change("alfa", "DELETE")).json()["state"] == "retiring"
             await service.kill()
             await service.start()
@@ -302,7 +302,7 @@
             text = service.file.read_text()
             service.file.write_text(text.replace('path = "/menus/{day}"', 'path = "/cartas/{day}"'))
             service.signal(signal.SIGHUP)
-            await until(lambda: "was taken over" in service.log)
+            await wait_until(lambda: "was taken over" in service.log)
             assert "wait for the next start: listeners" in service.log
             assert (await service.ask("alfa", path="/menus/d1")).status == 404
             assert (await service.ask("alfa", path="/cartas/d1")).status == 200
@@ -315,14 +315,14 @@
             ).status == 404, "the second listener stays where it was"
             service.file.write_text("[service")
             service.signal(signal.SIGHUP)
-            await until(lambda: "stays as it was" in service.log)
+            await wait_until(lambda: "stays as it was" in service.log)
             assert (await service.ask("alfa", path="/x")).status == 404
 
     run(test(), LONG)
 
 
 def test_classes_change_at_sighup_and_the_console_shows_them(tmp_path: Path) -> None:
-    async def call(port: int, method: str, path: str) -> Seen:
+    async def call(port: int, method: str, path: str) -> HttpMessage:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         seen = await read_message(reader)
@@ -352,7 +352,7 @@
 """
             )
             service.signal(signal.SIGHUP)
-            await until(lambda: "was taken over" in service.log)
+            await wait_until(lambda: "was taken over" in service.log)
             assert "wait for the next start" not in service.log
             assert (await service.ask("alfa", path="/fresh/d1")).status == 200
             figures = (await call(console, "GET", "/status/metrics")).body.decode()
@@ -375,9 +375,9 @@
         async with Service(tmp_path, hold) as service:
             await service.add("alfa")
             asking = asyncio.create_task(service.ask("alfa"))
-            await until(lambda: held)
+            await wait_until(lambda: held)
             service.signal(signal.SIGTERM)
-            await until(lambda: "draining" in service.log)
+            await wait_until(lambda: "draining" in service.log)
             held[0].set()
             assert (await asking).status == 200
             assert await service.ended() == 0
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -27,7 +27,7 @@
     encode_frame,
 )
 from tests.helpers import make_balancer, make_request, make_settings, sends
-from tests.rig import Rig, Seen, answer, run, serve_value, stopped, until
+from tests.rig import Rig, HttpMessage, answer, run, serve_value, intercept_stop, wait_until
 
 ANY = ("127.0.0.1", 0)
 
@@ -142,7 +142,7 @@
 def run_with_predecessor(tmp_path: Path, test: Test) -> None:
     async def play() -> None:
         listener = socket.create_server(ANY)
-        async with Rig(serve_value, serve_value, limits={"accept_fd": os.dup(listener.fileno())}) as rig:
+        async with Rig(serve_value, serve_value, config_options={"accept_fd": os.dup(listener.fileno())}) as rig:
             rig.host.handover = Handover(rig.host, str(tmp_path), "n0")
             rig.host.handover.start()
             await test(rig, tmp_path, listener)
@@ -170,25 +170,25 @@
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         release = asyncio.Event()
 
-        async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def slow(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
             await release.wait()
             writer.write(answer(b"slow"))
 
         idle, busy, half = [await rig.connect() for _ in range(3)]
         for client in (idle, busy, half):
-            await client.ask()
+            await client.request()
         for node in rig.nodes:
             node.script = slow
         busy.send()
         half.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients))
+        await wait_until(lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients))
         new = await start_successor(rig, folder, listener)
         assert (
             len(new.listed_nodes) == 2 and new.discovery.revision == 41
         ), "the list came from the old process"
-        ended = stopped(rig.host)
+        ended = intercept_stop(rig.host)
         rig.host.stop()
-        await until(lambda: len(new.frontend.clients) == 1)  # the idle connection
+        await wait_until(lambda: len(new.frontend.clients) == 1)  # the idle connection
         assert not ended
         release.set()
         seen = await busy.receive()
@@ -196,11 +196,11 @@
         half.writer.write(b"X-Call-Class: read\r\nX-Budget: 5\r\n\r\n")
         seen = await half.receive()
         assert seen is not None and seen.status == 200
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         for client in (idle, busy, half):
-            assert (await client.ask()).status == 200, "on the same connection as before"
+            assert (await client.request()).status == 200, "on the same connection as before"
         assert new.metrics.classes["read"].fulfilled == 3
-        assert (await rig.ask()).status == 200, "new connections reach only the new process"
+        assert (await rig.request()).status == 200, "new connections reach only the new process"
         assert new.metrics.classes["read"].fulfilled == 4
         close(new)
 
@@ -211,11 +211,11 @@
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         total = rig.host.descriptor_limit
         first = await start_successor(rig, folder, listener)
-        await until(lambda: rig.host.handover and rig.host.handover.links)
+        await wait_until(lambda: rig.host.handover and rig.host.handover.links)
         assert rig.host.descriptor_limit < total
         close(first)
-        await until(lambda: rig.host.handover and not rig.host.handover.links)
-        assert rig.host.descriptor_limit == total and (await rig.ask()).status == 200
+        await wait_until(lambda: rig.host.handover and not rig.host.handover.links)
+        assert rig.host.descriptor_limit == total and (await rig.request()).status == 200
         second = await start_successor(rig, folder, listener)
         assert len(second.listed_nodes) == 2, "the old process listens again"
         close(second)
@@ -228,13 +228,13 @@
         new = await start_successor(rig, folder, listener)
         held = await rig.connect()
         held.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await until(lambda: any(c.arriving for h in (rig.host, new) for c in h.frontend.clients))
-        ended = stopped(rig.host)
+        await wait_until(lambda: any(c.arriving for h in (rig.host, new) for c in h.frontend.clients))
+        ended = intercept_stop(rig.host)
         rig.host.stop()
         close(new)
-        await until(lambda: rig.host.lifecycle.draining or ended)
+        await wait_until(lambda: rig.host.lifecycle.draining or ended)
         held.writer.transport.abort()
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
 
     run_with_predecessor(tmp_path, test)
 
@@ -243,19 +243,19 @@
     """The rules see one proxy: a node that drains, and standby, apply to all its processes."""
 
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
-        _, writer = await rig.calls.get()
+        _, writer = await rig.discovery_calls.get()
         new = await start_successor(rig, folder, listener)
-        await until(lambda: rig.host.handover and rig.host.handover.links)
+        await wait_until(lambda: rig.host.handover and rig.host.handover.links)
         draining = node_id("s-0")
-        writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
-        await until(lambda: new.listed_nodes[draining][2].state is State.DRAINING)
+        writer.write(rig.list_answer(42, False, [rig.entry(0, phase="draining")]))
+        await wait_until(lambda: new.listed_nodes[draining][2].state is State.DRAINING)
         assert new.discovery.revision == 41, "its own watch keeps its revision"
         assert new.enter_standby() and new.lifecycle.draining
-        await until(lambda: rig.host.lifecycle.draining)
+        await wait_until(lambda: rig.host.lifecycle.draining)
         third = await start_successor(rig, folder, listener)
         assert third.lifecycle.draining, "a process that starts beside one on standby is on standby"
         assert rig.host.activate()
-        await until(lambda: not new.lifecycle.draining and not third.lifecycle.draining)
+        await wait_until(lambda: not new.lifecycle.draining and not third.lifecycle.draining)
         close(third)
         close(new)
 
@@ -265,17 +265,17 @@
 def test_settings_change_during_a_handover_while_discovery_is_unreachable(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         client = await rig.connect()
-        await client.ask()
+        await client.request()
         rig.discovery.stop()
         new = await start_successor(rig, folder, listener)
         settings = make_settings(classes=(RequestClass("fresh", 5_000, 5_000),))
         for host in (rig.host, new):
             host.reload(replace(host.config, settings=settings))
-        ended = stopped(rig.host)
+        ended = intercept_stop(rig.host)
         rig.host.stop()
-        await until(lambda: ended and new.frontend.clients)
-        assert (await client.ask(x_call_class="fresh")).status == 200
-        assert (await client.ask(x_call_class="read")).status == 503
+        await wait_until(lambda: ended and new.frontend.clients)
+        assert (await client.request(x_call_class="fresh")).status == 200
+        assert (await client.request(x_call_class="read")).status == 503
         close(new)
 
     run_with_predecessor(tmp_path, test)
@@ -284,16 +284,16 @@
 def test_two_replacements_in_a_row(tmp_path: Path) -> None:
     async def test(rig: Rig, folder: Path, listener: socket.socket) -> None:
         client = await rig.connect()
-        await client.ask()
+        await client.request()
         second = await start_successor(rig, folder, listener)
-        ended = stopped(rig.host)
+        ended = intercept_stop(rig.host)
         rig.host.stop()
-        await until(lambda: ended and second.frontend.clients)
+        await wait_until(lambda: ended and second.frontend.clients)
         third = await start_successor(rig, folder, listener)
-        ended = stopped(second)
+        ended = intercept_stop(second)
         second.stop()
-        await until(lambda: ended and third.frontend.clients)
-        assert (await client.ask()).status == 200
+        await wait_until(lambda: ended and third.frontend.clients)
+        assert (await client.request()).status == 200
         close(third)
         close(second)
 
@@ -312,13 +312,13 @@
         dialled = sum(node.connections for node in rig.nodes)
         new = await start_successor(rig, folder, listener)
         link = await link_to_successor(rig.host)
-        await until(lambda: link.takes_node_connections)
-        ended = stopped(rig.host)
+        await wait_until(lambda: link.takes_node_connections)
+        ended = intercept_stop(rig.host)
         rig.host.stop()
-        await until(lambda: ended and len(new.frontend.clients) == 6)
-        await until(lambda: sum(len(pool.idle) for pool in new.pools.values()) == dialled)
+        await wait_until(lambda: ended and len(new.frontend.clients) == 6)
+        await wait_until(lambda: sum(len(pool.idle) for pool in new.pools.values()) == dialled)
         for client in clients:
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
         assert sum(node.connections for node in rig.nodes) == dialled
         assert new.descriptors_used == 6 + dialled, "the connection to discovery is not counted"
         assert rig.host.descriptors_used == 0
@@ -384,7 +384,7 @@
 
 async def link_to_successor(host: Host) -> HandoverLink:
     """Returns the link to the process that takes over."""
-    await until(lambda: host.handover and host.handover.successor)
+    await wait_until(lambda: host.handover and host.handover.successor)
     assert host.handover is not None and host.handover.successor is not None
     return host.handover.successor
 
@@ -400,7 +400,7 @@
         close(host)
         malformed_peer = HandoverSocket(str(other), "n0").listen()
         starting = asyncio.create_task(start_successor(rig, other, listener))
-        await until(lambda: not _would_block(malformed_peer, b"nonsense of some length"))
+        await wait_until(lambda: not _would_block(malformed_peer, b"nonsense of some length"))
         host = await starting
         assert not host.listed_nodes
         close(host)
--- a/tests/operations/test_metrics.py
+++ b/tests/operations/test_metrics.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from notchflow.operations.metrics import ProxyMetrics
-from tests.rig import Client, Rig, Seen, answer, run, until
+from tests.rig import Client, Rig, HttpMessage, answer, run, wait_until
 
 LINE = re.compile(r'svc_operations\{priority="(.+)",status="(\w+)"\} (\d+)')
 
@@ -33,7 +33,7 @@
     assert metrics.classes["unknown"].throttled == 100 and len(metrics.classes) == 2
 
 
-async def respond_by_key(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_by_key(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """A node whose kind of response depends on the key."""
     kind = int(seen.line.split()[1][-1], 16) % 8
     if kind == 0:
@@ -89,20 +89,20 @@
 
         async with Rig(respond_by_key, respond_by_key, respond_by_key) as rig:
             await asyncio.gather(*(one(100_000 * n) for n in range(1, clients + 1)))
-            await until(lambda: rig.host.metrics.open == 0)
+            await wait_until(lambda: rig.host.metrics.open == 0)
             got = counts(rig.host.metrics_text())
             assert sum(seen.values()) == clients * each
             for (cls, result), number in seen.items():
                 assert got[cls, result] == number, (cls, result)
             relayed = sum(n for (_, result), n in got.items() if result == "relayed")
-            assert relayed == rig.sent
+            assert relayed == rig.forwarded_count
             assert sum(c.total for c in rig.host.metrics.classes.values()) == clients * each
 
     run(test(), 30 if each == 100 else 600)
 
 
 def test_open_requests_and_those_whose_client_has_left() -> None:
-    async def never_respond(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def never_respond(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0)
 
     async def test() -> None:
@@ -110,11 +110,11 @@
             clients = [await rig.connect() for _ in range(5)]
             for client in clients:
                 client.send()
-            await until(lambda: rig.host.metrics.open == 5)
+            await wait_until(lambda: rig.host.metrics.open == 5)
             assert "svc_open_requests 5\n" in rig.host.metrics_text()
             for client in clients:
                 client.reset()
-            await until(lambda: rig.host.metrics.open == 0)
+            await wait_until(lambda: rig.host.metrics.open == 0)
             assert "svc_departed 5\n" in rig.host.metrics_text()
             assert rig.host.metrics.classes["read"].faulted == 0
 
@@ -129,14 +129,14 @@
     async def test() -> None:
         async with Rig(respond_by_key, respond_by_key, respond_by_key) as rig:
             assert "svc_registry_entries 3\n" in rig.host.metrics_text()
-            _, writer = await rig.calls.get()
-            writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
-            _, writer = await rig.calls.get()
+            _, writer = await rig.discovery_calls.get()
+            writer.write(rig.list_answer(42, False, [rig.entry(0, phase="draining")]))
+            _, writer = await rig.discovery_calls.get()
             assert "svc_registry_entries 3\n" in samples(rig) and "svc_out_of_rotation 1\n" in samples(rig)
             (age,) = re.findall(r"svc_registry_age_ms (\d+)\n", samples(rig))
             assert 0 <= int(age) < 10_000 and "svc_registry_failures 0\n" in samples(rig)
-            writer.write(rig.listing(43, False, [rig.entry(0, phase="removed")]))
-            await rig.calls.get()
+            writer.write(rig.list_answer(43, False, [rig.entry(0, phase="removed")]))
+            await rig.discovery_calls.get()
             assert "svc_registry_entries 2\n" in samples(rig) and "svc_out_of_rotation 0\n" in samples(rig)
 
     run(test())
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -27,7 +27,7 @@
 from notchflow.net.process import on_sighup
 from notchflow.operations.key_paths import collect_key_paths, missing_key_paths
 from tests.helpers import LIMITS, make_balancer, make_request, make_settings, sends
-from tests.rig import Rig, Seen, answer, run, until
+from tests.rig import Rig, HttpMessage, answer, run, wait_until
 
 CLASS = {"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 500, "Effect": "repeatable"}
 FILE: dict[str, Any] = {
@@ -142,18 +142,18 @@
                 config_file.write_text(fault)
                 on_sighup(rig.host)
             assert rig.host.settings is before and rig.host.metrics.cfg_invalid == len(FAULTY_FILES)
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
             config_file.write_text(
                 json.dumps(
                     changed(Classes=[CLASS, CLASS | {"Name": "fresh"}])
                     | {"discovery": f"127.0.0.1:{rig.discovery.port}"}
                 )
             )
-            assert (await rig.ask(x_call_class="fresh")).status == 503
+            assert (await rig.request(x_call_class="fresh")).status == 503
             on_sighup(rig.host)
             assert rig.host.metrics.cfg_accepted == 1
-            assert (await rig.ask(x_call_class="fresh")).status == 200
-            assert (await rig.ask(x_call_class="keyed")).status == 503, "a class that was removed"
+            assert (await rig.request(x_call_class="fresh")).status == 200
+            assert (await rig.request(x_call_class="keyed")).status == 503, "a class that was removed"
             assert 'priority="fresh",status="fulfilled"} 1' in rig.host.metrics_text()
 
     with caplog.at_level(logging.ERROR):
@@ -176,13 +176,13 @@
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
 
-        async def hold(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def hold(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
             held.append(writer)
 
         async with Rig(hold) as rig:
             client = await rig.connect()
             client.send()
-            await until(lambda: held)
+            await wait_until(lambda: held)
             rig.host.reload(
                 replace(rig.host.config, settings=make_settings(classes=(RequestClass("other", 100, 200),)))
             )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -22,33 +22,33 @@
 
 _E = TypeVar("_E")
 
-PATIENCE_S = 10.0  # only a test that hangs takes so long
+TEST_TIMEOUT_S = 10.0  # only a test that hangs takes so long
 
 
-def run(test: Coroutine[Any, Any, None], patience_s: float = PATIENCE_S) -> None:
+def run(test: Coroutine[Any, Any, None], timeout_s: float = TEST_TIMEOUT_S) -> None:
     """Runs a test on the kind of event loop that the proxy uses."""
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     try:
-        loop.run_until_complete(_bounded(test, patience_s))
+        loop.run_until_complete(_bounded(test, timeout_s))
     finally:
         asyncio.set_event_loop(None)
         loop.close()
 
 
-async def _bounded(test: Coroutine[Any, Any, None], patience_s: float) -> None:
-    async with asyncio.timeout(patience_s):
+async def _bounded(test: Coroutine[Any, Any, None], timeout_s: float) -> None:
+    async with asyncio.timeout(timeout_s):
         await test
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Polls until the condition is true; run() bounds the wait."""
     while not condition():
         await asyncio.sleep(0.001)
 
 
 @dataclass
-class Seen:
+class HttpMessage:
     """An HTTP message as read by a scripted peer."""
 
     line: str
@@ -60,7 +60,7 @@
         return int(self.line.split()[1])
 
 
-async def read_message(reader: asyncio.StreamReader) -> Seen | None:
+async def read_message(reader: asyncio.StreamReader) -> HttpMessage | None:
     """Reads one HTTP message; None at the end of the connection."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -74,7 +74,7 @@
             await reader.readexactly(2)
         else:
             body = await reader.readexactly(int(headers.get("content-length", 0)))
-        return Seen(line, headers, body)
+        return HttpMessage(line, headers, body)
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
 
@@ -85,12 +85,12 @@
     return f"HTTP/1.1 {status}\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-Script = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[HttpMessage, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def serve_value(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serve_value(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """Answers like a healthy node."""
-    writer.write(answer(b"value of " + seen.line.split()[1].encode()))
+    writer.write(answer(b"value of " + request.line.split()[1].encode()))
 
 
 @dataclass
@@ -98,7 +98,7 @@
     """A server whose script answers each request; it records requests and connections."""
 
     script: Script = serve_value
-    seen: list[Seen] = field(default_factory=list)
+    received: list[HttpMessage] = field(default_factory=list)
     connections: int = 0
     open: set[asyncio.StreamWriter] = field(default_factory=set)
     port: int = 0
@@ -115,9 +115,9 @@
         self.connections += 1
         self.open.add(writer)
         try:
-            while (seen := await read_message(reader)) is not None:
-                self.seen.append(seen)
-                await self.script(seen, writer)
+            while (request := await read_message(reader)) is not None:
+                self.received.append(request)
+                await self.script(request, writer)
         finally:
             self.open.discard(writer)
             writer.close()
@@ -130,7 +130,7 @@
             writer.transport.abort()
 
 
-def stopped(host: Host) -> list[bool]:
+def intercept_stop(host: Host) -> list[bool]:
     """Replaces the host's loop.stop(), which would stop the test's loop, by appending to a list."""
     ended: list[bool] = []
 
@@ -173,14 +173,14 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
-    async def receive(self) -> Seen | None:
+    async def receive(self) -> HttpMessage | None:
         return await read_message(self.reader)
 
-    async def ask(self, *args: Any, **more: Any) -> Seen:
+    async def request(self, *args: Any, **more: Any) -> HttpMessage:
         self.send(*args, **more)
-        seen = await self.receive()
-        assert seen is not None, "the connection ended without an answer"
-        return seen
+        response = await self.receive()
+        assert response is not None, "the connection ended without an answer"
+        return response
 
 
 CLASSES = (
@@ -196,28 +196,28 @@
         self,
         *scripts: Script,
         members: list[dict[str, Any]] | None = None,
-        limits: dict[str, Any] | None = None,
+        config_options: dict[str, Any] | None = None,
         door: TenantAdmission | None = None,
-        greets: bool = True,
+        answers_first_call: bool = True,
         **changes: Any,
     ) -> None:
         self.door = door
-        self.greets = greets  # discovery answers the first call of a new process at once
+        self.answers_first_call = answers_first_call  # discovery answers the first call of a new process at once
         self.nodes = [Peer(script) for script in scripts or (serve_value,)]
         self.discovery = Peer(self._answer_discovery)
         self.members = members
-        self.limits = limits or {}
+        self.config_options = config_options or {}
         self.settings: Settings = make_settings(**({"classes": CLASSES} | changes))
-        self.calls: asyncio.Queue[tuple[Seen, asyncio.StreamWriter]] = asyncio.Queue()
+        self.discovery_calls: asyncio.Queue[tuple[HttpMessage, asyncio.StreamWriter]] = asyncio.Queue()
         self.clients: list[Client] = []
 
-    async def _answer_discovery(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def _answer_discovery(self, request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         agent = not self.settings.list_on_request
-        if self.greets and agent and "wait=1 " in seen.line:  # the first call of a process
-            self.greets = False
-            writer.write(self.listing(41, False, []))
+        if self.answers_first_call and agent and "wait=1 " in request.line:  # the first call of a process
+            self.answers_first_call = False
+            writer.write(self.list_answer(41, False, []))
             return
-        self.calls.put_nowait((seen, writer))
+        self.discovery_calls.put_nowait((request, writer))
 
     def entry(self, number: int, **changes: Any) -> dict[str, Any]:
         """A node's entry in the list of discovery."""
@@ -232,7 +232,7 @@
             "up_since_ms": 0,
         } | changes
 
-    def listing(
+    def list_answer(
         self, revision: int, complete: bool = True, members: list[dict[str, Any]] | None = None
     ) -> bytes:
         """An answer of discovery with a list of nodes."""
@@ -254,15 +254,15 @@
             seed=7,
             settings=self.settings,
             known=known,
-            **self.limits,
+            **self.config_options,
         )
         self.host = Host(config, asyncio.get_running_loop(), self.door)
         if self.door is not None:
             self.door.host = self.host
         self.host.start()
         assert self.host.frontend.listener is not None
-        if self.greets:
-            await until(self.host.list_is_current)
+        if self.answers_first_call:
+            await wait_until(self.host.list_is_current)
         self.port = self.host.frontend.listener.getsockname()[1]
         return self
 
@@ -271,11 +271,11 @@
         self.clients.append(client)
         return client
 
-    async def ask(self, *args: Any, **more: Any) -> Seen:
+    async def request(self, *args: Any, **more: Any) -> HttpMessage:
         """Sends a request on a new connection and returns its answer."""
-        return await (await self.connect()).ask(*args, **more)
+        return await (await self.connect()).request(*args, **more)
 
-    def told(self, kind: type[_E]) -> list[_E]:
+    def record_events(self, kind: type[_E]) -> list[_E]:
         """A list that collects the events of one kind that the policy gets from now on."""
         events: list[_E] = []
         handle = self.host.balancer.handle
@@ -289,9 +289,9 @@
         return events
 
     @property
-    def sent(self) -> int:
+    def forwarded_count(self) -> int:
         """Number of requests that the nodes have received."""
-        return sum(len(node.seen) for node in self.nodes)
+        return sum(len(node.received) for node in self.nodes)
 
     async def __aexit__(
         self, kind: type[BaseException] | None, value: BaseException | None, trace: TracebackType | None
@@ -302,5 +302,5 @@
             peer.stop()
         for client in self.clients:
             client.writer.transport.abort()
-        async with asyncio.timeout(PATIENCE_S):
-            await until(lambda: len(asyncio.all_tasks()) == 1)
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await wait_until(lambda: len(asyncio.all_tasks()) == 1)
--- a/tests/store/test_commit.py
+++ b/tests/store/test_commit.py
@@ -114,7 +114,7 @@
         store.start()
         assert await submitted(store, put(0)) is None
         if state is StoreState.FULL:
-            files.capacity = sum(len(i.seen) for i in files.files.values()) + 5
+            files.capacity = sum(len(i.visible) for i in files.files.values()) + 5
         else:
             files.errors = {files.operations + n: number for n in range(1, 20)}
         problems = await asyncio.gather(*[submitted(store, put(n)) for n in range(1, 5)])
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -61,7 +61,7 @@
     reached, seen = 0, set()
     for cut in range(SEGMENT_HEADER, size + 1):
         copy = files.copy()
-        del copy.files[name].seen[cut:]
+        del copy.files[name].visible[cut:]
         engine = open_engine(copy)
         found = contents(engine)
         while reached < len(states) and states[reached] != found:
@@ -84,12 +84,12 @@
     engine.close()
     for cut in range(0, sealed.end, 7):
         copy = files.copy()
-        del copy.files[manifest.log_name(sealed.number)].seen[cut:]
-        before = {n: bytes(i.seen) for n, i in copy.files.items()}
+        del copy.files[manifest.log_name(sealed.number)].visible[cut:]
+        before = {n: bytes(i.visible) for n, i in copy.files.items()}
         with pytest.raises(CorruptionError) as caught:
             open_engine(copy)
         assert caught.value.name == manifest.log_name(sealed.number) and caught.value.offset <= cut
-        assert {n: bytes(i.seen) for n, i in copy.files.items()} == before
+        assert {n: bytes(i.visible) for n, i in copy.files.items()} == before
         assert not copy.locked, "the lock is released"
 
 
@@ -104,14 +104,14 @@
         copy = files.copy()
         for name in [n for n in copy.files if n.endswith(".hint")]:
             del copy.files[name]
-        copy.files[manifest.log_name(number)].seen[offset] ^= 0x10
+        copy.files[manifest.log_name(number)].visible[offset] ^= 0x10
         with pytest.raises(CorruptionError) as caught:
             open_engine(copy)
         assert caught.value.offset <= offset
     copy = files.copy()
     engine = open_engine(copy)
     key, entry = next((r.key, e) for r in engine.records() if (e := engine.index.get(r.key)) is not None)
-    copy.files[manifest.log_name(entry.segment)].seen[entry.offset + 9] ^= 1
+    copy.files[manifest.log_name(entry.segment)].visible[entry.offset + 9] ^= 1
     with pytest.raises(CorruptionError, match=manifest.log_name(entry.segment)):
         engine.read(key)
 
@@ -125,12 +125,12 @@
         ends.append(engine.active.end)
     for offset in range(SEGMENT_HEADER, ends[1]):
         copy = files.copy()
-        copy.files[manifest.log_name(1)].seen[offset] ^= 0x80
+        copy.files[manifest.log_name(1)].visible[offset] ^= 0x80
         with pytest.raises(CorruptionError) as caught:
             open_engine(copy)
         assert caught.value.offset in (SEGMENT_HEADER, ends[0])
     copy = files.copy()
-    copy.files[manifest.log_name(1)].seen[ends[1] + 3] ^= 0x80  # the last batch could be a torn write
+    copy.files[manifest.log_name(1)].visible[ends[1] + 3] ^= 0x80  # the last batch could be a torn write
     assert set(contents(open_engine(copy))) == {b"k0", b"k1"}
 
 
@@ -140,7 +140,7 @@
     engine.append([Change(RecordKind.PUT, b"a", b"b")])
     end = engine.active.end
     engine.close()
-    files.files[manifest.log_name(1)].seen[end - 1] ^= 1
+    files.files[manifest.log_name(1)].visible[end - 1] ^= 1
     for name in [n for n in files.files if n.endswith(".hint")]:
         del files.files[name]
     with pytest.raises(CorruptionError):
@@ -216,7 +216,7 @@
     files = FaultyFiles()
     engine = open_engine(files)
     engine.append([Change(RecordKind.PUT, b"a", b"1")])
-    files.capacity = sum(len(i.seen) for i in files.files.values()) + 30
+    files.capacity = sum(len(i.visible) for i in files.files.values()) + 30
     for _ in range(3):
         with pytest.raises(DiskFullError):
             engine.append([Change(RecordKind.PUT, b"b", b"2" * 500)])
@@ -233,12 +233,12 @@
     engine = open_engine(files)
     engine.append([Change(RecordKind.PUT, b"a", b"1")])
     end = engine.active.end
-    files.capacity = sum(len(i.seen) for i in files.files.values()) + 20
+    files.capacity = sum(len(i.visible) for i in files.files.values()) + 20
     with pytest.raises(DiskFullError):
         engine.append([Change(RecordKind.PUT, b"b", b"2" * 500)])
     files.capacity = None
     engine.close()
-    files.files[manifest.log_name(1)].seen += b"left over"
+    files.files[manifest.log_name(1)].visible += b"left over"
     for hint in (True, False):
         copy = files.copy()
         if not hint:
@@ -255,7 +255,7 @@
     value = b"v" * 900
     while engine.active.end < SMALL.segment_max - 1000:
         engine.append([Change(RecordKind.PUT, b"k%d" % engine.next_number, value)])
-    files.capacity = sum(len(i.seen) for i in files.files.values()) + 1000
+    files.capacity = sum(len(i.visible) for i in files.files.values()) + 1000
     engine.append([Change(RecordKind.PUT, b"last", value)])
     assert engine.state is StoreState.FULL and len(engine.segments) == 1, "acknowledged, but no new segment"
     files.capacity = None
@@ -298,7 +298,7 @@
     with pytest.raises(CorruptionError, match="no manifest"):
         open_engine(copy)
     copy = files.copy()
-    copy.files[manifest.NAME].seen[5] ^= 1
+    copy.files[manifest.NAME].visible[5] ^= 1
     with pytest.raises(manifest.ManifestError, match="checksum"):
         open_engine(copy)
     copy = files.copy()
@@ -316,7 +316,7 @@
         engine.append([Change(RecordKind.PUT, b"key-%d" % rng.randrange(500), b"%d" % n + b"x" * 150)])
         engine.run_maintenance()
     engine.compact()
-    size = sum(len(i.seen) for n, i in files.files.items() if n.endswith(".log"))
+    size = sum(len(i.visible) for n, i in files.files.items() if n.endswith(".log"))
     assert len(contents(engine)) == 500
     assert size < 2 * 500 * 230 + 2 * options.segment_max
     assert engine.copied_bytes < 1.5 * engine.written_bytes
@@ -333,4 +333,4 @@
     now = 3000
     engine.compact()
     assert len(engine.index) == 0
-    assert sum(len(i.seen) for n, i in files.files.items() if n.endswith(".log")) < 2 * SMALL.segment_max
+    assert sum(len(i.visible) for n, i in files.files.items() if n.endswith(".log")) < 2 * SMALL.segment_max
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,7 @@
 from notchflow.net.client import STALL_TIMEOUT_MS
 from notchflow.net.exchange import ClientRequest
 from tests.helpers import make_balancer, sends
-from tests.rig import Client, Peer, Rig, answer, run, until
+from tests.rig import Client, Peer, Rig, answer, run, wait_until
 
 MB = 1 << 20
 PUT: dict[str, Any] = {"method": "PUT", "x_call_class": "keyed", "idempotency_key": "k1"}
@@ -85,7 +85,7 @@
     plays no part."""
 
     def __init__(self, *scripts: Script, memory_mb: float = 64, **more: Any) -> None:
-        super().__init__(limits={"memory_mb": memory_mb}, **more)
+        super().__init__(config_options={"memory_mb": memory_mb}, **more)
         self.body_nodes = [BodyNode(script) for script in scripts]
         self.nodes = list(self.body_nodes)
 
@@ -128,7 +128,7 @@
             (node,) = [node for node in rig.body_nodes if node.size]
             assert node.got.digest() == hashlib.sha256(body).digest()
             assert rig.host.metrics.classes["keyed"].relayed == 1
-            assert (await client.ask()).status == 200, "the connection is good for more"
+            assert (await client.request()).status == 200, "the connection is good for more"
 
     run(test(), 30)
 
@@ -165,7 +165,7 @@
             client.send(**PUT, content_length=str(len(body)))
             sending = asyncio.create_task(send_body(client, body))
             clients = rig.host.frontend.clients
-            await until(
+            await wait_until(
                 lambda: any(c.body_paused_at is not None for c in clients) and rig.body_nodes[0].started
             )
             (client_connection,) = clients
@@ -197,7 +197,7 @@
             client.send(**PUT, content_length=str(len(body)))
             sending = asyncio.create_task(send_body(client, body))
             clients = rig.host.frontend.clients
-            await until(
+            await wait_until(
                 lambda: any(c.body_paused_at is not None for c in clients)
                 and any(node.started for node in rig.body_nodes)
             )
@@ -231,7 +231,7 @@
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
             await send_body(client, body[: 2 * MB])
-            await until(lambda: len(first) == 2 and first[1].size)
+            await wait_until(lambda: len(first) == 2 and first[1].size)
             await send_body(client, body[2 * MB :])
             response = await client.receive()
             assert response is not None and response.status == 200
@@ -255,12 +255,12 @@
             writer.transport.abort()
 
         async with BodyRig(breaks, breaks, memory_mb=64) as rig:
-            discards = rig.told(BodyDiscarded)
+            discards = rig.record_events(BodyDiscarded)
             body = body_of(16 * MB)
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
             await send_body(client, body[: 12 * MB])
-            await until(lambda: discards)
+            await wait_until(lambda: discards)
             assert rig.arriving_request.body_start_dropped
             gone.set()
             client.writer.write(body[12 * MB : 13 * MB])
@@ -277,15 +277,15 @@
 
     async def test() -> None:
         async with BodyRig(reads_all, reads_all) as rig:
-            _, watch = await rig.calls.get()
+            _, watch = await rig.discovery_calls.get()
             body = body_of(4 * MB)
             client = await rig.connect()
             client.send(**PUT, content_length=str(len(body)))
             await send_body(client, body[: 2 * MB])
-            await until(lambda: rig.size)
+            await wait_until(lambda: rig.size)
             (first,) = [n for n, node in enumerate(rig.body_nodes) if node.started]
-            watch.write(rig.listing(42, False, [rig.entry(first, phase="draining")]))
-            await until(lambda: rig.body_nodes[1 - first].started)
+            watch.write(rig.list_answer(42, False, [rig.entry(first, phase="draining")]))
+            await wait_until(lambda: rig.body_nodes[1 - first].started)
             await send_body(client, body[2 * MB :])
             response = await client.receive()
             assert response is not None and response.status == 200
@@ -307,7 +307,7 @@
             if way == "chunk":
                 client.writer.write(b"%x\r\n" % (4 * MB))
             await send_body(client, body_of(MB))
-            await until(lambda: rig.size == MB)
+            await wait_until(lambda: rig.size == MB)
             (client_connection,) = rig.host.frontend.clients
             if way == "reset":
                 client.reset()
@@ -321,7 +321,7 @@
                 response = await client.receive()
                 assert response is not None and response.status == {"chunk": 400, "silence": 408}[way]
                 assert rig.host.metrics.classes["keyed"].faulted == 1
-            await until(lambda: not rig.host.active_requests and not rig.body_nodes[0].open)
+            await wait_until(lambda: not rig.host.active_requests and not rig.body_nodes[0].open)
             assert (
                 rig.host.buffered_bytes == 0
                 and not rig.host.balancer.pending
@@ -343,8 +343,8 @@
             assert response is not None and response.status == status
             assert rig.host.metrics.open == 0 and rig.size == 0
             await send_body(client, body_of(3 * MB))  # read and discarded: a reset would lose the response
-            assert (await client.ask(path="/health/ready")).status == 200, "the connection is good for more"
-            await until(lambda: rig.host.frontend.idle)
+            assert (await client.request(path="/health/ready")).status == 200, "the connection is good for more"
+            await wait_until(lambda: rig.host.frontend.idle)
             client.send("PUT", path, x_call_class="keyed", connection="close", content_length=str(4 * MB))
             await send_body(client, body_of(MB))
             response = await client.receive()
@@ -362,11 +362,11 @@
 def test_the_transfer_time_of_a_body_counts_neither_as_budget_nor_as_latency() -> None:
     async def test() -> None:
         async with BodyRig(reads_all) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
             client.send(**PUT, x_budget="0.3", content_length=str(MB))
             await send_body(client, body_of(MB // 2))
-            await until(lambda: rig.size == MB // 2)
+            await wait_until(lambda: rig.size == MB // 2)
             await asyncio.sleep(0.5)
             assert (
                 rig.arriving_request.active is not None
@@ -406,11 +406,11 @@
             client = await rig.connect()
             client.send(**PUT, content_length=str(MB))
             await send_body(client, body_of(MB // 2))
-            await until(lambda: rig.size == MB // 2)
+            await wait_until(lambda: rig.size == MB // 2)
             (client_connection,) = rig.host.frontend.clients
             for count in range(1, 9):
                 client.writer.write(bytes(1_000))
-                await until(lambda count=count: rig.size == MB // 2 + count * 1_000)  # type: ignore[misc]
+                await wait_until(lambda count=count: rig.size == MB // 2 + count * 1_000)  # type: ignore[misc]
                 assert not client_connection.unsent_pieces
 
     run(test())
@@ -446,7 +446,7 @@
             client.send(**PUT, content_length=str(16 * MB))
             await send_body(client, body_of(16 * MB))
             assert (response := await client.receive()) is not None and response.body == b"taken"
-            assert len((await client.ask()).body) == 16 * MB
+            assert len((await client.request()).body) == 16 * MB
         for kind, over in reads.items():
             assert len(over) > 10 and not any(over), kind
 
@@ -465,10 +465,10 @@
         async with BodyRig(long) as rig:
             first = await rig.connect()
             first.send()
-            await until(lambda: any(pool.idle for pool in rig.host.pools.values()))
+            await wait_until(lambda: any(pool.idle for pool in rig.host.pools.values()))
             (connection,) = [c for pool in rig.host.pools.values() for c in pool.idle]
             connection.set_paused(True)  # as if its last bytes had filled the client's buffer
-            assert (response := await rig.ask()).status == 200 and len(response.body) == size
+            assert (response := await rig.request()).status == 200 and len(response.body) == size
             assert len(rig.body_nodes[0].open) == 1, "on the same connection"
 
     run(test())
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -16,49 +16,49 @@
 import pytest
 
 from notchflow.interface import Outcome, Status, StreamStarted
-from tests.rig import Rig, Script, Seen, answer, run, serve_value, until
+from tests.rig import Rig, Script, HttpMessage, answer, run, serve_value, wait_until
 
 ROUNDS = 60
 
 
-async def reset(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def reset(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-async def err(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def err(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     writer.write(answer(b"", status="500 Internal Server Error"))
 
 
-async def shed(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def shed(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     writer.write(answer(b"", status="503 Service Unavailable", X_Rejected="1"))
 
 
-async def hang(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def hang(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """Sends nothing; the proxy closes the connection."""
 
 
-async def long_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def long_answer(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     writer.write(answer(b"v" * 200_000))
 
 
 async def ask(rig: Rig) -> None:
-    await rig.ask()
+    await rig.request()
 
 
 async def ask_for_short(rig: Rig) -> None:
-    await rig.ask(X_Budget="0.01")
+    await rig.request(X_Budget="0.01")
 
 
 async def ask_for_unknown_class(rig: Rig) -> None:
-    await rig.ask(X_Call_Class="unknown")
+    await rig.request(X_Call_Class="unknown")
 
 
 async def ask_and_leave(rig: Rig) -> None:
-    client, sent = await rig.connect(), rig.sent
+    client, sent = await rig.connect(), rig.forwarded_count
     client.send()
-    await until(lambda: rig.sent > sent)
+    await wait_until(lambda: rig.forwarded_count > sent)
     client.reset()
-    await until(lambda: not rig.host.active_requests)
+    await wait_until(lambda: not rig.host.active_requests)
 
 
 KINDS: list[tuple[str, Script, Callable[[Rig], Awaitable[None]]]] = [
@@ -102,14 +102,14 @@
             with uncollected() as left:
                 for _ in range(ROUNDS):
                     await one(rig)
-                await until(lambda: not rig.host.active_requests)
+                await wait_until(lambda: not rig.host.active_requests)
                 rig.host.timers.clear()  # as when all of them have fired
             assert not left
 
     run(test())
 
 
-async def by_kind(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def by_kind(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """Responds as the request's X-Kind says; a hang applies only to the first attempt of a request."""
     kind, call = seen.headers["x-kind"], seen.headers["x-call-id"]
     if kind in ("hang", "time out") and (call not in hung or kind == "time out"):
@@ -176,7 +176,7 @@
 
     async def test() -> None:
         async with Rig(by_kind, by_kind, by_kind) as rig:
-            streams, outcomes = rig.told(StreamStarted), rig.told(Outcome)
+            streams, outcomes = rig.record_events(StreamStarted), rig.record_events(Outcome)
             seen, numbers = Counter[str](), iter(range(count))
             await asyncio.gather(
                 *(
@@ -188,7 +188,7 @@
                 await asyncio.gather(
                     *(mixed_client(rig, random.Random(i), numbers, seen) for i in range(clients))
                 )
-                await until(lambda: not rig.host.active_requests)
+                await wait_until(lambda: not rig.host.active_requests)
                 assert rig.host.buffered_bytes == 0, "no body stays counted"
                 assert len(rig.host.timers) < 20, "no timer of a request is left"
                 assert not rig.host.balancer.pending and rig.host.balancer.fleet.in_flight == 0
@@ -201,4 +201,4 @@
             )
             assert any(o.attempt > 0 and o.status is Status.OK for o in outcomes), "retries or hedges served"
 
-    run(test(), patience_s=60.0 + count / 200)
+    run(test(), timeout_s=60.0 + count / 200)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,7 +10,7 @@
 
 from notchflow.net.console import MAX_CONNECTIONS
 from notchflow.net.frontend import inherit_listener
-from tests.rig import Client, Rig, Seen, read_message, run, serve_value, until
+from tests.rig import Client, Rig, HttpMessage, read_message, run, serve_value, wait_until
 
 ANY = ("127.0.0.1", 0)
 
@@ -21,7 +21,7 @@
     return Client(*await asyncio.open_connection(*console.listener.getsockname()))
 
 
-async def request(rig: Rig, method: str, path: str) -> Seen:
+async def request(rig: Rig, method: str, path: str) -> HttpMessage:
     client = await connect(rig)
     client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n".encode())
     seen = await client.receive()
@@ -31,23 +31,23 @@
 
 
 def rig_with_console() -> Rig:
-    return Rig(serve_value, serve_value, limits={"console": ANY})
+    return Rig(serve_value, serve_value, config_options={"console": ANY})
 
 
 def test_each_request_and_invalid_ones() -> None:
     async def test() -> None:
         async with rig_with_console() as rig:
             assert (await request(rig, "GET", "/status")).status == 200
-            await rig.ask()
+            await rig.request()
             metrics = (await request(rig, "GET", "/status/metrics")).body.decode()
             assert 'svc_operations{priority="read",status="fulfilled"} 1\n' in metrics
             assert (await request(rig, "GET", "/nothing")).status == 404
             wrong = await request(rig, "GET", "/standby")
             assert (wrong.status, wrong.headers["allow"]) == (405, "POST")
-            assert (await rig.ask()).status == 200, "a request with the wrong method does nothing"
+            assert (await rig.request()).status == 200, "a request with the wrong method does nothing"
             client = await connect(rig)
             client.writer.write(b"nonsense\r\n\r\n")
-            assert (await read_message(client.reader) or Seen("x 0", {}, b"")).status == 400
+            assert (await read_message(client.reader) or HttpMessage("x 0", {}, b"")).status == 400
 
     run(test())
 
@@ -65,7 +65,7 @@
             for connection in console.connections:
                 connection.opened_at -= 10_000
             console.close_expired(rig.host.clock.now())
-            await until(lambda: not console.connections)
+            await wait_until(lambda: not console.connections)
             for client in silent:
                 client.writer.transport.abort()
 
@@ -93,20 +93,20 @@
     async def test() -> None:
         async with rig_with_console() as rig:
             used, idle = await rig.connect(), await rig.connect()
-            assert (await used.ask()).status == (await idle.ask()).status == 200
+            assert (await used.request()).status == (await idle.request()).status == 200
             assert (await request(rig, "POST", "/standby")).status == 200
-            ready = await rig.ask(path="/health/ready")
+            ready = await rig.request(path="/health/ready")
             assert ready.status == 503
-            asked = await used.ask()
+            asked = await used.request()
             assert (asked.status, asked.headers["connection"]) == (200, "close")
-            assert (await rig.ask()).status == 200, "requests that still arrive are served"
+            assert (await rig.request()).status == 200, "requests that still arrive are served"
             rig.host.lifecycle.entered_at -= 1_600
             assert await idle.receive() is None, "idle connections are closed"
-            await until(lambda: not rig.host.frontend.clients)
+            await wait_until(lambda: not rig.host.frontend.clients)
             assert (await request(rig, "POST", "/standby")).status == 200
             assert (await request(rig, "POST", "/active")).status == 200
-            assert (await rig.ask(path="/health/ready")).status == 200
-            assert "connection" not in (await rig.ask()).headers
+            assert (await rig.request(path="/health/ready")).status == 200
+            assert "connection" not in (await rig.request()).headers
 
     run(test())
 
@@ -117,7 +117,7 @@
             held = await rig.connect()
             # an incomplete request delays the end of the process
             held.send("PUT", body=None, content_length="5")
-            await until(lambda: any(c.arriving for c in rig.host.frontend.clients))
+            await wait_until(lambda: any(c.arriving for c in rig.host.frontend.clients))
             rig.host.stop()
             assert (await request(rig, "POST", "/active")).status == 409
             assert (await request(rig, "GET", "/status")).status == 503
@@ -129,10 +129,10 @@
 def test_an_inherited_socket_is_accepted_from_and_left_open_for_others() -> None:
     async def test() -> None:
         listener = socket.create_server(ANY)
-        rig = Rig(serve_value, limits={"accept_fd": os.dup(listener.fileno())})
+        rig = Rig(serve_value, config_options={"accept_fd": os.dup(listener.fileno())})
         async with rig:
             assert rig.port == listener.getsockname()[1]
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
         late = socket.create_connection(listener.getsockname())
         taken, _ = listener.accept()
         taken.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,24 +19,24 @@
 from notchflow.net import watch
 from notchflow.net.config import load
 from notchflow.net.discovery import decode_node_list, node_id
-from tests.rig import Peer, Rig, Seen, answer, run, serve_value, stopped, until
+from tests.rig import Peer, Rig, HttpMessage, answer, run, serve_value, intercept_stop, wait_until
 
 
 def test_a_watch_continues_from_each_answer_and_deltas_are_applied() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            memberships = rig.told(Membership)
+            memberships = rig.record_events(Membership)
             rig.host.discovery.watch(True)
-            call, writer = await rig.calls.get()
+            call, writer = await rig.discovery_calls.get()
             assert call.line.startswith("GET /registry/instances?index=41&wait=")
-            writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            call, writer = await rig.calls.get()
+            writer.write(rig.list_answer(43, False, [rig.entry(0, phase="draining")]))
+            call, writer = await rig.discovery_calls.get()
             assert "index=43" in call.line, "the next call leaves at once"
             assert memberships[-1].kind is ListKind.DELTA
-            assert (await rig.ask()).status == 503 and rig.sent == 0, "a draining node gets no new requests"
-            writer.write(rig.listing(44))
-            await rig.calls.get()
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 0, "a draining node gets no new requests"
+            writer.write(rig.list_answer(44))
+            await rig.discovery_calls.get()
+            assert (await rig.request()).status == 200
 
     run(test())
 
@@ -46,22 +46,22 @@
 
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            memberships = rig.told(Membership)
-            whole = rig.listing(44, True, [rig.entry(0), rig.entry(0, id="s-9")])
+            memberships = rig.record_events(Membership)
+            whole = rig.list_answer(44, True, [rig.entry(0), rig.entry(0, id="s-9")])
             for cut in range(0, len(whole), 5):
                 memberships.clear()
                 rig.host.discovery.watch(True)
-                _, writer = await rig.calls.get()
+                _, writer = await rig.discovery_calls.get()
                 writer.write(whole[:cut])
                 writer.close()
-                await until(lambda: memberships)
+                await wait_until(lambda: memberships)
                 assert [m.kind for m in memberships] == [ListKind.FAILED], cut
                 assert len(rig.host.listed_nodes) == 1 and rig.host.discovery.revision == 41
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
             rig.host.discovery.watch(True)
-            _, writer = await rig.calls.get()
+            _, writer = await rig.discovery_calls.get()
             writer.write(whole)
-            await until(lambda: len(rig.host.listed_nodes) == 2)
+            await wait_until(lambda: len(rig.host.listed_nodes) == 2)
 
     run(test(), 30)
 
@@ -71,12 +71,12 @@
     async def test() -> None:
         async with Rig() as rig:
             rig.host.discovery.watch(True)
-            _, writer = await rig.calls.get()
+            _, writer = await rig.discovery_calls.get()
             members = [rig.entry(0, id=f"s-{n}") for n in range(count)]
-            writer.write(rig.listing(44, True, members))
-            await until(lambda: rig.host.discovery.revision == 44)
+            writer.write(rig.list_answer(44, True, members))
+            await wait_until(lambda: rig.host.discovery.revision == 44)
             assert len(rig.host.listed_nodes) == count
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
 
     run(test(), 30)
 
@@ -100,14 +100,14 @@
 def test_a_bad_answer_is_one_failure_and_keeps_the_old_list(data: bytes) -> None:
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            memberships = rig.told(Membership)
+            memberships = rig.record_events(Membership)
             rig.host.discovery.watch(True)
-            _, writer = await rig.calls.get()
+            _, writer = await rig.discovery_calls.get()
             writer.write(data)
-            await until(lambda: memberships)
+            await wait_until(lambda: memberships)
             assert [m.kind for m in memberships] == [ListKind.FAILED]
             assert rig.host.metrics.registry_failures == 1
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
 
     run(test())
 
@@ -150,17 +150,17 @@
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
             rig.host.discovery.watch(True)
-            _, writer = await rig.calls.get()
+            _, writer = await rig.discovery_calls.get()
             members = [rig.entry(0, id=f"s-{n}", up_since_ms=1.0) for n in range(1_024)]
-            writer.write(rig.listing(44, True, members))
-            _, writer = await rig.calls.get()
+            writer.write(rig.list_answer(44, True, members))
+            _, writer = await rig.discovery_calls.get()
             assert len(rig.host.listed_nodes) == len(rig.host.pools) == 1_024
             drains = [m | {"phase": "draining"} for m in members[1:]]
-            writer.write(rig.listing(45, False, drains))
-            await rig.calls.get()
-            outcomes = rig.told(Outcome)
+            writer.write(rig.list_answer(45, False, drains))
+            await rig.discovery_calls.get()
+            outcomes = rig.record_events(Outcome)
             for n in range(20):
-                assert (await rig.ask(path=f"/api/{n:016x}")).status == 200
+                assert (await rig.request(path=f"/api/{n:016x}")).status == 200
             assert {o.node for o in outcomes} == {node_id("s-0")}
 
     run(test())
@@ -170,14 +170,14 @@
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
             rig.host.discovery.watch(True)
-            _, writer = await rig.calls.get()
+            _, writer = await rig.discovery_calls.get()
             listing = {"revision": 44, "complete": False, "members": [rig.entry(0, phase="draining")]}
             for byte in answer(json.dumps(listing, indent=4).encode()):
                 writer.write(bytes([byte]))
                 await writer.drain()
                 await asyncio.sleep(0)
-            await until(lambda: rig.host.discovery.revision == 44)
-            assert (await rig.ask()).status == 503 and rig.sent == 0
+            await wait_until(lambda: rig.host.discovery.revision == 44)
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 0
 
     run(test())
 
@@ -190,7 +190,7 @@
 
     async def test() -> None:
         async with Rig() as rig:
-            _, endless = await rig.calls.get()
+            _, endless = await rig.discovery_calls.get()
             endless.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
             async def go_on() -> None:
@@ -199,10 +199,10 @@
                     await asyncio.sleep(0.005)
 
             task = asyncio.create_task(go_on())
-            _, writer = await rig.calls.get()
-            writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            await until(lambda: rig.host.discovery.revision == 43)
-            assert (await rig.ask()).status == 503 and rig.sent == 0
+            _, writer = await rig.discovery_calls.get()
+            writer.write(rig.list_answer(43, False, [rig.entry(0, phase="draining")]))
+            await wait_until(lambda: rig.host.discovery.revision == 43)
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 0
             await task  # ends as its connection is closed
 
     run(test())
@@ -220,19 +220,19 @@
                 host.apply(decode_node_list(listing), kind)
 
             apply_entries(rig.entry(0))
-            assert (await rig.ask()).status == 200 and (len(first.seen), len(second.seen)) == (1, 0)
+            assert (await rig.request()).status == 200 and (len(first.received), len(second.received)) == (1, 0)
             moved = rig.entry(1, id="s-0")
             apply_entries(moved)
-            assert (await rig.ask()).status == 200 and (len(first.seen), len(second.seen)) == (1, 1)
-            await until(lambda: not first.open)
+            assert (await rig.request()).status == 200 and (len(first.received), len(second.received)) == (1, 1)
+            await wait_until(lambda: not first.open)
             apply_entries(moved | {"phase": "draining"}, rig.entry(1, id="s-9"))
-            outcomes = rig.told(Outcome)
-            assert (await rig.ask()).status == 200 and len(second.seen) == 2
+            outcomes = rig.record_events(Outcome)
+            assert (await rig.request()).status == 200 and len(second.received) == 2
             assert [o.node for o in outcomes] == [node_id("s-9")], "the address belongs to another id now"
             apply_entries(moved | {"phase": "removed"}, rig.entry(1, id="s-9", phase="removed"))
-            assert (await rig.ask()).status == 503 and (len(first.seen), len(second.seen)) == (1, 2)
+            assert (await rig.request()).status == 503 and (len(first.received), len(second.received)) == (1, 2)
             apply_entries(rig.entry(0, up_since_ms=1.0))
-            assert (await rig.ask()).status == 200 and len(first.seen) == 2
+            assert (await rig.request()).status == 200 and len(first.received) == 2
 
     run(test())
 
@@ -242,11 +242,11 @@
 
     async def test() -> None:
         async with Rig() as rig:
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
             (pool,) = rig.host.pools.values()
             pool.retire()
-            outcomes = rig.told(Outcome)
-            assert (await rig.ask()).status == 503 and rig.sent == 1
+            outcomes = rig.record_events(Outcome)
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 1
             assert {o.status for o in outcomes} == {Status.MOOT}
             pool.retired = False
             acquire = rig.host.acquire_descriptor
@@ -257,7 +257,7 @@
 
             rig.host.acquire_descriptor = retire_and_acquire  # type: ignore[method-assign]
             dialled = rig.nodes[0].connections
-            assert (await rig.ask()).status == 503 and rig.sent == 1
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 1
             assert rig.nodes[0].connections == dialled + 1
             assert Status.CONNECT_FAILED in {o.status for o in outcomes}
 
@@ -275,7 +275,7 @@
             node = node_id("s-0")
             path = next(p for n in range(99) if host.balancer.fleet.order(p := f"{n:016x}")[0].id == node)
             client = await rig.connect()
-            assert (await client.ask(path=f"/api/{path}")).status == 200
+            assert (await client.request(path=f"/api/{path}")).status == 200
             (idle,) = host.pools[node].idle
             with socket.create_server(("127.0.0.1", 0), backlog=0) as full:  # it accepts nothing
                 address = full.getsockname()
@@ -284,11 +284,11 @@
                     sock.setblocking(False)
                     sock.connect_ex(address)
                 idle.close()
-                await until(lambda: not host.pools[node].idle)
+                await wait_until(lambda: not host.pools[node].idle)
                 host.pools[node].address, host.pools[node].connect_timeout_ms = address, 60_000.0
                 client.send("PUT", f"/api/{path}", b"paid", X_Call_Class="once")
-                await until(lambda: host.pools[node].dials)
-                ended = stopped(host)
+                await wait_until(lambda: host.pools[node].dials)
+                ended = intercept_stop(host)
                 if ending:
                     host.stop()
                 host.apply(
@@ -299,9 +299,9 @@
                 )
                 response = await client.receive()
                 assert response is not None and response.status == 200
-                assert [len(n.seen) for n in rig.nodes] == [1, 1]
+                assert [len(n.received) for n in rig.nodes] == [1, 1]
                 if ending:
-                    await until(lambda: ended)
+                    await wait_until(lambda: ended)
                 for sock in waiting:
                     sock.close()
 
@@ -320,23 +320,23 @@
 
     async def test() -> None:
         async with Rig(list_on_request=on_request) as rig:
-            memberships = rig.told(Membership)
+            memberships = rig.record_events(Membership)
             rig.host.discovery.watch(True)
             if on_request:  # the first call proves that discovery is reachable
-                call, writer = await rig.calls.get()
+                call, writer = await rig.discovery_calls.get()
                 assert "wait=1 " in call.line
-                writer.write(rig.listing(41, False, []))
-                await until(lambda: memberships)
+                writer.write(rig.list_answer(41, False, []))
+                await wait_until(lambda: memberships)
                 memberships.clear()
-            call, unanswered = await rig.calls.get()
+            call, unanswered = await rig.discovery_calls.get()
             assert f"wait={60_000 if on_request else 20} " in call.line
-            call, writer = await rig.calls.get()
+            call, writer = await rig.discovery_calls.get()
             assert "index=41" in call.line and not unanswered.transport.is_closing()
             assert not memberships, "no failure is reported, as none is certain"
-            writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            await until(lambda: memberships)
+            writer.write(rig.list_answer(43, False, [rig.entry(0, phase="draining")]))
+            await wait_until(lambda: memberships)
             assert [m.kind for m in memberships] == [ListKind.DELTA]
-            assert (await rig.ask()).status == 503 and rig.sent == 0
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 0
             assert rig.host.discovery.list_watch.phase is not watch.Phase.RENEWING
 
     run(test())
@@ -347,25 +347,25 @@
     drain."""
 
     async def test() -> None:
-        async with Rig(greets=False) as rig:
-            call, writer = await rig.calls.get()
+        async with Rig(answers_first_call=False) as rig:
+            call, writer = await rig.discovery_calls.get()
             assert "index=41&wait=1 " in call.line
-            assert (await rig.ask(path="/health/ready")).status == 503
-            writer.write(rig.listing(42, False, [rig.entry(0, phase="draining")]))
-            await rig.calls.get()
-            assert (await rig.ask(path="/health/ready")).status == 200
-            assert (await rig.ask()).status == 503 and rig.sent == 0
+            assert (await rig.request(path="/health/ready")).status == 503
+            writer.write(rig.list_answer(42, False, [rig.entry(0, phase="draining")]))
+            await rig.discovery_calls.get()
+            assert (await rig.request(path="/health/ready")).status == 200
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 0
 
     run(test())
 
 
 def test_a_new_process_serves_with_the_known_list_if_the_agent_does_not_answer() -> None:
     async def test() -> None:
-        async with Rig(greets=False) as rig:
-            await rig.calls.get()
-            while (await rig.ask(path="/health/ready")).status != 200:
+        async with Rig(answers_first_call=False) as rig:
+            await rig.discovery_calls.get()
+            while (await rig.request(path="/health/ready")).status != 200:
                 await asyncio.sleep(0.01)
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
 
     run(test())
 
@@ -378,9 +378,9 @@
             rig.host.descriptor_limit = rig.host.descriptors_used
             assert not rig.host.acquire_descriptor()
             rig.host.discovery.watch(True)
-            _, writer = await rig.calls.get()
-            writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            await until(lambda: rig.host.discovery.revision == 43)
+            _, writer = await rig.discovery_calls.get()
+            writer.write(rig.list_answer(43, False, [rig.entry(0, phase="draining")]))
+            await wait_until(lambda: rig.host.discovery.revision == 43)
 
     run(test())
 
@@ -388,26 +388,26 @@
 def test_a_new_discovery_address_is_used_at_once_and_the_old_one_is_left() -> None:
     async def test() -> None:
         async with Rig(list_on_request=True) as rig:
-            memberships = rig.told(Membership)
+            memberships = rig.record_events(Membership)
             rig.host.discovery.watch(True)
-            _, old = await rig.calls.get()
+            _, old = await rig.discovery_calls.get()
             moved = Peer(rig._answer_discovery)
             await moved.start()
             config = replace(rig.host.config, discovery=("127.0.0.1", moved.port))
             rig.host.reload(config)
-            call, new = await rig.calls.get()
+            call, new = await rig.discovery_calls.get()
             assert (
-                "index=41" in call.line and len(moved.seen) == 1
+                "index=41" in call.line and len(moved.received) == 1
             ), "the watch continues from the known revision"
-            await until(lambda: not rig.discovery.open)
+            await wait_until(lambda: not rig.discovery.open)
             rig.host.reload(config)
-            new.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            call, _ = await rig.calls.get()
-            assert "index=43" in call.line and len(moved.seen) == 2 and len(rig.discovery.seen) == 1
+            new.write(rig.list_answer(43, False, [rig.entry(0, phase="draining")]))
+            call, _ = await rig.discovery_calls.get()
+            assert "index=43" in call.line and len(moved.received) == 2 and len(rig.discovery.received) == 1
             assert [m.kind for m in memberships] == [ListKind.DELTA]
-            assert (await rig.ask()).status == 503 and rig.sent == 0
+            assert (await rig.request()).status == 503 and rig.forwarded_count == 0
             moved.stop()
-            await until(lambda: len(memberships) > 1)
+            await wait_until(lambda: len(memberships) > 1)
 
     run(test())
 
@@ -432,7 +432,7 @@
         calls = [asyncio.Event(), asyncio.Event()]
 
         def peer(number: int) -> Peer:
-            async def script(request: Seen, writer: asyncio.StreamWriter) -> None:
+            async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
                 calls[number].set()
 
             return Peer(script)
@@ -468,7 +468,7 @@
             for server in (first, second):
                 server.stop()
 
-    run(test(), patience_s=60.0)  # includes the start of the program
+    run(test(), timeout_s=60.0)  # includes the start of the program
 
 
 async def until_listening(port: int) -> None:
@@ -486,12 +486,12 @@
 
     async def test() -> None:
         async with Rig() as rig:
-            memberships = rig.told(Membership)
-            _, writer = await rig.calls.get()
+            memberships = rig.record_events(Membership)
+            _, writer = await rig.discovery_calls.get()
             writer.transport.abort()
-            _, writer = await rig.calls.get()
-            writer.write(rig.listing(43, False, [rig.entry(0, phase="draining")]))
-            await until(lambda: len(memberships) == 2)
+            _, writer = await rig.discovery_calls.get()
+            writer.write(rig.list_answer(43, False, [rig.entry(0, phase="draining")]))
+            await wait_until(lambda: len(memberships) == 2)
             assert [m.kind for m in memberships] == [ListKind.FAILED, ListKind.DELTA]
 
     run(test())
