--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from notchflow.net import frontend
-from tests.rig import Client, Rig, Seen, answer, run, serve_value, until
+from tests.rig import Client, Rig, HttpMessage, answer, run, serve_value, wait_until
 
 VALID_REQUEST = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: read\r\n\r\n"
 
@@ -57,8 +57,8 @@
                 ]
             assert seen.headers["connection"] == "close"
             assert await client.reader.read() == b"", "nothing may follow"
-            assert rig.sent == 0
-            assert (await rig.ask()).status == 200, "other clients are served as before"
+            assert rig.forwarded_count == 0
+            assert (await rig.request()).status == 200, "other clients are served as before"
 
     with caplog.at_level(logging.INFO):
         run(test())
@@ -72,8 +72,8 @@
             client.writer.write(data)
             seen = await client.receive()
             assert seen is not None and seen.status == status
-            assert rig.sent == 0
-            assert (await client.ask()).status == 200
+            assert rig.forwarded_count == 0
+            assert (await client.request()).status == 200
 
     run(test())
 
@@ -81,8 +81,8 @@
 def test_a_missing_budget_defaults_to_the_deadline_of_the_class() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            await rig.ask(X_Budget="")
-            assert 4.5 < float(rig.nodes[0].seen[0].headers["x-budget"]) <= 5.0
+            await rig.request(X_Budget="")
+            assert 4.5 < float(rig.nodes[0].received[0].headers["x-budget"]) <= 5.0
 
     run(test())
 
@@ -100,8 +100,8 @@
                 await asyncio.sleep(0)
             seen = await client.receive()
             assert seen is not None and seen.status == 200
-            assert rig.nodes[0].seen[0].body == b"abcde"
-            assert rig.nodes[0].seen[0].headers["content-length"] == "5"
+            assert rig.nodes[0].received[0].body == b"abcde"
+            assert rig.nodes[0].received[0].headers["content-length"] == "5"
 
     run(test())
 
@@ -118,7 +118,7 @@
             client.writer.write(b"hi")
             seen = await client.receive()
             assert seen is not None and seen.status == 200
-            assert "expect" not in rig.nodes[0].seen[0].headers
+            assert "expect" not in rig.nodes[0].received[0].headers
 
     run(test())
 
@@ -141,7 +141,7 @@
 def test_a_half_closed_client_gets_its_response() -> None:
     gate = asyncio.Event()
 
-    async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def held(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
         await serve_value(seen, writer)
 
@@ -150,7 +150,7 @@
             client = await rig.connect()
             client.send()
             client.writer.write_eof()
-            await until(lambda: rig.sent and all(c.half_closed for c in rig.host.frontend.clients))
+            await wait_until(lambda: rig.forwarded_count and all(c.half_closed for c in rig.host.frontend.clients))
             gate.set()
             seen = await client.receive()
             assert seen is not None and seen.status == 200
@@ -164,10 +164,10 @@
         async with Rig() as rig:
             client = await rig.connect()
             client.writer.write(b"PUT /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 999\r\n\r\nab")
-            await until(lambda: rig.host.buffered_bytes == 2)
+            await wait_until(lambda: rig.host.buffered_bytes == 2)
             client.reset()
-            await until(lambda: not rig.host.frontend.clients)
-            assert (rig.host.buffered_bytes, rig.sent) == (0, 0)
+            await wait_until(lambda: not rig.host.frontend.clients)
+            assert (rig.host.buffered_bytes, rig.forwarded_count) == (0, 0)
 
     run(test())
 
@@ -177,17 +177,17 @@
         async with Rig() as rig:
             rig.host.buffer_limit = 100_000
             client = await rig.connect()
-            seen = await client.ask("PUT", body=b"x" * 200_000)  # a longer one would be streamed
+            seen = await client.request("PUT", body=b"x" * 200_000)  # a longer one would be streamed
             assert seen.status == 503
-            assert (rig.host.buffered_bytes, rig.sent) == (0, 0)
-            assert (await client.ask("PUT", body=b"x" * 50_000)).status == 200, "the connection stays usable"
+            assert (rig.host.buffered_bytes, rig.forwarded_count) == (0, 0)
+            assert (await client.request("PUT", body=b"x" * 50_000)).status == 200, "the connection stays usable"
             assert rig.host.buffered_bytes == 0
 
     run(test())
 
 
 def test_a_long_response_is_streamed_with_backpressure_for_a_slow_reader() -> None:
-    async def long(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def long(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(300):
             writer.write(b"10000\r\n" + b"v" * 0x10000 + b"\r\n")
@@ -199,16 +199,16 @@
             client = await rig.connect()
             client.reader._limit = 1 << 16  # type: ignore[attr-defined]
             client.send()
-            await until(lambda: any(c.paused for c in rig.host.frontend.clients))
+            await wait_until(lambda: any(c.paused for c in rig.host.frontend.clients))
             seen = await client.receive()
             assert seen is not None and (seen.status, len(seen.body)) == (200, 300 << 16)
-            assert (await client.ask(path="/health/ready")).status == 200
+            assert (await client.request(path="/health/ready")).status == 200
 
     run(test())
 
 
 def test_a_long_response_that_breaks_off_looks_incomplete() -> None:
-    async def cut(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def cut(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n")
         writer.write(b"v" * 0x20000 + b"\r\n")
         await writer.drain()
@@ -219,17 +219,17 @@
             client = await rig.connect()
             client.send()
             assert await client.receive() is None
-            await until(lambda: not rig.host.active_requests)
-            assert rig.sent == 1 and not rig.host.balancer.pending
+            await wait_until(lambda: not rig.host.active_requests)
+            assert rig.forwarded_count == 1 and not rig.host.balancer.pending
 
     run(test())
 
 
 def test_idle_clients_are_closed_for_new_ones_near_the_descriptor_limit() -> None:
     async def test() -> None:
-        async with Rig(limits={"sockets": 44}) as rig:
+        async with Rig(config_options={"sockets": 44}) as rig:
             for _ in range(60):
-                assert (await rig.ask()).status == 200
+                assert (await rig.request()).status == 200
             assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
     run(test())
@@ -240,15 +240,15 @@
     descriptors."""
 
     async def test() -> None:
-        async with Rig(limits={"sockets": 44}) as rig:
+        async with Rig(config_options={"sockets": 44}) as rig:
             for _ in range(10):
                 client = await rig.connect()
-                assert (await client.ask()).status == 200
+                assert (await client.request()).status == 200
                 client.reset()
-            await until(lambda: not rig.host.frontend.clients)
+            await wait_until(lambda: not rig.host.frontend.clients)
             assert not rig.host.frontend.idle and not rig.host.frontend.close_idle()
             for _ in range(40):  # they stay connected; idle ones are closed for new ones
-                assert (await rig.ask()).status == 200
+                assert (await rig.request()).status == 200
             assert rig.host.descriptors_used <= rig.host.descriptor_limit
 
     run(test())
@@ -261,21 +261,21 @@
     async def test() -> None:
         async with Rig() as rig:
             silent, half, served = [await rig.connect() for _ in range(3)]
-            assert (await served.ask()).status == 200
+            assert (await served.request()).status == 200
             rig.host.timers.clear()  # the test runs the sweeps itself, whatever the speed of the machine
             half.writer.write(b"GET /api/00aa HTTP/1.1\r\nX-Call-")
             clients = rig.host.frontend.clients
-            await until(lambda: sum(c.arriving is not None for c in clients) == 1 and len(clients) == 3)
+            await wait_until(lambda: sum(c.arriving is not None for c in clients) == 1 and len(clients) == 3)
             began = max(c.request_due_since or 0.0 for c in clients)
             rig.host.frontend.sweep(began + 1_000)
             half.writer.write(b"Id: 1\r\n")
-            await until(lambda: any(c.head_size > 35 for c in clients))
+            await wait_until(lambda: any(c.head_size > 35 for c in clients))
             assert len(clients) == 3
             rig.host.frontend.sweep(began + 2_400)
             assert await silent.reader.read() == b""
             seen = await half.receive()
             assert seen is not None and seen.status == 408
-            assert (await served.ask()).status == 200
+            assert (await served.request()).status == 200
 
     run(test())
 
@@ -291,7 +291,7 @@
                 client.send("PUT", body=None, content_length="300000", idempotency_key="1")
             slow.writer.write(b"x" * 200_000)
             clients = rig.host.frontend.clients
-            await until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
+            await wait_until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
             began = max(c.request_due_since or 0.0 for c in clients)
             rig.host.frontend.sweep(began + 3_100)
             seen = await stalled.receive()
@@ -306,7 +306,7 @@
 def test_requests_during_shutdown_are_answered_before_the_loop_stops() -> None:
     gate = asyncio.Event()
 
-    async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def held(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         if seen.line.split()[1] == "/api/held":
             await gate.wait()
         writer.write(answer())
@@ -316,13 +316,13 @@
             ended = asyncio.Event()
             rig.host.loop = _LoopRecordingStop(rig.host.loop, ended)  # type: ignore[assignment]
             idle, busy = await rig.connect(), await rig.connect()
-            assert (await idle.ask()).status == 200
+            assert (await idle.request()).status == 200
             busy.send(path="/api/held")
-            await until(lambda: rig.sent == 2)
+            await wait_until(lambda: rig.forwarded_count == 2)
             rig.host.stop()
-            ready = await rig.ask(path="/health/ready")
+            ready = await rig.request(path="/health/ready")
             assert ready.status == 503
-            late = await rig.ask()
+            late = await rig.request()
             assert (late.status, late.headers["connection"]) == (200, "close")
             assert await idle.reader.read() == b"", "idle connections are closed at the end"
             assert not ended.is_set()
@@ -381,9 +381,9 @@
                 client.writer.write(piece)
             client.writer.write_eof()
             await client.reader.read()
-            await until(lambda: not rig.host.frontend.clients)
+            await wait_until(lambda: not rig.host.frontend.clients)
             assert not rig.host.active_requests and rig.host.buffered_bytes == 0
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
 
     run(test())
 
@@ -394,13 +394,13 @@
     monkeypatch.setattr(frontend, "MIN_IDLE_MS", 60_000.0)  # whatever the speed of the machine
 
     async def test() -> None:
-        async with Rig(limits={"sockets": 44}) as rig:
+        async with Rig(config_options={"sockets": 44}) as rig:
             frontend = rig.host.frontend
             clients = await asyncio.gather(*(rig.connect() for _ in range(60)))
             # the limit is reached, and no client has sent a request
-            await until(lambda: not frontend.accepting)
+            await wait_until(lambda: not frontend.accepting)
 
-            async def once(client: Client) -> Seen | None:
+            async def once(client: Client) -> HttpMessage | None:
                 client.send()
                 seen = await client.receive()
                 client.writer.close()
@@ -419,8 +419,8 @@
             frontend = rig.host.frontend
             asked, silent = await rig.connect(), await rig.connect()
             for client in (asked, silent):
-                assert (await client.ask()).status == 200
-            await until(lambda: len(frontend.idle) == 2)
+                assert (await client.request()).status == 200
+            await wait_until(lambda: len(frontend.idle) == 2)
             for kept in frontend.idle:
                 kept.active_at -= 1_000  # idle for long
             transport = next(iter(frontend.idle)).transport
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -10,13 +10,13 @@
 import pytest
 
 from notchflow.interface import Outcome, Status
-from tests.rig import CLASSES, Rig, Script, Seen, answer, run, serve_value, until
+from tests.rig import CLASSES, Rig, Script, HttpMessage, answer, run, serve_value, wait_until
 
 
 def replies(data: bytes, close: bool = False) -> Script:
     """Returns a node that answers every request with these bytes."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if close:
             writer.close()
@@ -24,11 +24,11 @@
     return script
 
 
-async def hangs(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def hangs(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """A node that never answers."""
 
 
-async def resets(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def resets(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """A node that resets the connection when a request arrives."""
     writer.transport.abort()
 
@@ -61,11 +61,11 @@
 ) -> None:
     async def test() -> None:
         async with Rig(script) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             budget = "0.2" if status is Status.TIMEOUT else "5"
-            seen = await rig.ask("PUT", body=b"paid", X_Call_Class="once", X_Budget=budget)
+            seen = await rig.request("PUT", body=b"paid", X_Call_Class="once", X_Budget=budget)
             assert (seen.status, [o.status for o in outcomes]) == (final, [status])
-            assert rig.sent == 1
+            assert rig.forwarded_count == 1
             assert not rig.host.active_requests and not rig.host.balancer.pending
 
     run(test())
@@ -75,11 +75,11 @@
 def test_a_read_goes_to_another_node_and_no_broken_connection_is_kept(script: Script, status: Status) -> None:
     async def test() -> None:
         async with Rig(script, script, serve_value) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             number = 0
             while len(outcomes) == number:  # until the first attempt of a request goes to a broken node
                 number += 1
-                seen = await rig.ask(path=f"/api/{number:016x}")
+                seen = await rig.request(path=f"/api/{number:016x}")
                 assert (seen.status, seen.body) == (200, b"value of /api/%016x" % number)
             assert {o.status for o in outcomes} == {status, Status.OK}
             if status is Status.RESET:
@@ -92,13 +92,13 @@
 def test_a_refused_connection_proves_that_nothing_ran() -> None:
     async def test() -> None:
         async with Rig(serve_value, serve_value) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             rig.nodes[0].stop()
             for number in range(8):
-                seen = await rig.ask("PUT", f"/api/{number:016x}", b"paid", X_Call_Class="once")
+                seen = await rig.request("PUT", f"/api/{number:016x}", b"paid", X_Call_Class="once")
                 assert seen.status == 200, "an attempt that never ran is retried, unsafe or not"
             assert Status.CONNECT_FAILED in {o.status for o in outcomes}
-            assert rig.sent == 8
+            assert rig.forwarded_count == 8
 
     run(test())
 
@@ -108,7 +108,7 @@
         async with Rig(replies(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue and more")) as rig:
             client = await rig.connect()
             for _ in range(2):
-                seen = await client.ask()
+                seen = await client.request()
                 assert (seen.status, seen.body) == (200, b"value")
             assert rig.nodes[0].connections == 2
 
@@ -122,7 +122,7 @@
 
     async def test() -> None:
         async with Rig() as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             rig.nodes[0].stop()
             server = await asyncio.start_server(answer_early, "127.0.0.1", rig.nodes[0].port, limit=1)
             client = await rig.connect()
@@ -145,8 +145,8 @@
 
     async def test() -> None:
         async with Rig(replies(data)) as rig:
-            outcomes = rig.told(Outcome)
-            seen = await rig.ask()
+            outcomes = rig.record_events(Outcome)
+            seen = await rig.request()
             assert (seen.status, seen.body, seen.headers["x-kept"]) == (200, b"value", "yes")
             assert "link" not in seen.headers and "x-late" not in seen.headers
             assert seen.headers["content-length"] == "5" and "transfer-encoding" not in seen.headers
@@ -158,8 +158,8 @@
 def test_a_body_may_be_delimited_by_the_end_of_the_connection() -> None:
     async def test() -> None:
         async with Rig(replies(b"HTTP/1.1 200 OK\r\nX-Hit: miss\r\n\r\nvalue", close=True)) as rig:
-            outcomes = rig.told(Outcome)
-            seen = await rig.ask()
+            outcomes = rig.record_events(Outcome)
+            seen = await rig.request()
             assert (seen.status, seen.body) == (200, b"value")
             assert outcomes[0].hit is False
 
@@ -175,12 +175,12 @@
     async def test() -> None:
         async with Rig(replies(data, close=True)) as rig:
             client = await rig.connect()
-            seen = await client.ask(Connection="keep-alive, X-Hop", X_Hop="1", X_Kept="2")
+            seen = await client.request(Connection="keep-alive, X-Hop", X_Hop="1", X_Kept="2")
             assert seen.headers["x-kept"] == "2"
             assert not {"connection", "x-private", "keep-alive"} & seen.headers.keys()
-            got = rig.nodes[0].seen[0].headers
+            got = rig.nodes[0].received[0].headers
             assert got["x-kept"] == "2" and not {"x-hop", "connection"} & got.keys()
-            assert (await client.ask()).status == 200, "the client's own connection is kept"
+            assert (await client.request()).status == 200, "the client's own connection is kept"
 
     run(test())
 
@@ -188,7 +188,7 @@
 def test_line_headers_and_body_reach_the_node_unchanged() -> None:
     async def test() -> None:
         async with Rig() as rig:
-            await rig.ask(
+            await rig.request(
                 "PUT",
                 "/api/00aa?x=1&y=%20",
                 b"body",
@@ -197,7 +197,7 @@
                 X_Call_Class="keyed",
                 X_Budget="2.5",
             )
-            got = rig.nodes[0].seen[0]
+            got = rig.nodes[0].received[0]
             assert (got.line, got.body) == ("PUT /api/00aa?x=1&y=%20 HTTP/1.1", b"body")
             assert (got.headers["x-call-id"], got.headers["idempotency-key"]) == ("77", "k-1")
             assert 0 < float(got.headers["x-budget"]) <= 2.5
@@ -209,15 +209,15 @@
 def test_a_keyed_request_is_retried_within_its_window_only(window: float, times: int) -> None:
     classes = tuple(replace(c, window_ms=window) if c.name == "keyed" else c for c in CLASSES)
 
-    async def slow_reset(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def slow_reset(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.02)  # longer than the shorter window
         writer.transport.abort()
 
     async def test() -> None:
         async with Rig(slow_reset, slow_reset, classes=classes) as rig:
-            seen = await rig.ask("PUT", body=b"x", X_Call_Class="keyed", Idempotency_Key="k")
+            seen = await rig.request("PUT", body=b"x", X_Call_Class="keyed", Idempotency_Key="k")
             assert seen.status in (502, 503)
-            assert rig.sent == times
+            assert rig.forwarded_count == times
 
     run(test())
 
@@ -226,9 +226,9 @@
     """Ends a request by something else while its node holds the answer back."""
     client = await rig.connect()
     client.send()
-    await until(lambda: rig.sent)
+    await wait_until(lambda: rig.forwarded_count)
     end()
-    await until(lambda: not rig.host.active_requests)
+    await wait_until(lambda: not rig.host.active_requests)
     gate.set()
     assert not rig.host.balancer.pending
 
@@ -236,16 +236,16 @@
 def test_a_disconnected_client_ends_its_request_and_a_late_answer_is_dropped() -> None:
     gate = asyncio.Event()
 
-    async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def held(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
         writer.write(answer())
 
     async def test() -> None:
         async with Rig(held) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             await end_before_answer(rig, lambda: rig.clients[0].reset(), gate)
             assert [o.status for o in outcomes] == [Status.CANCELLED]
-            assert (await rig.ask()).status == 200
+            assert (await rig.request()).status == 200
 
     run(test())
 
@@ -253,19 +253,19 @@
 def test_at_the_deadline_the_client_gets_one_answer_and_a_late_one_is_dropped() -> None:
     gate = asyncio.Event()
 
-    async def held(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        if len(rig.nodes[0].seen) == 1:
+    async def held(seen: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        if len(rig.nodes[0].received) == 1:
             await gate.wait()
         writer.write(answer())
 
     async def test() -> None:
         async with rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
-            seen = await client.ask(X_Budget="0.15")
+            seen = await client.request(X_Budget="0.15")
             assert seen.status in (503, 504)
             gate.set()
-            assert (await client.ask()).status == 200, "no bytes of the late answer may precede it"
+            assert (await client.request()).status == 200, "no bytes of the late answer may precede it"
             assert [o.status for o in outcomes] == [Status.TIMEOUT, Status.OK]
 
     rig = Rig(held)
@@ -276,8 +276,8 @@
     async def test() -> None:
         async with Rig() as rig:
             rig.host.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
-            assert (await rig.ask(X_Budget="0.1")).status == 504
-            assert rig.sent == 0 and not rig.host.active_requests
+            assert (await rig.request(X_Budget="0.1")).status == 504
+            assert rig.forwarded_count == 0 and not rig.host.active_requests
 
     run(test())
 
@@ -296,7 +296,7 @@
 
             rig.host.balancer.handle = failing  # type: ignore[method-assign]
             client = await rig.connect()
-            assert (await client.ask()).status == 502
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 502
+            assert (await client.request()).status == 200
 
     run(test())
--- a/tests/test_standin_stop.py
+++ b/tests/test_standin_stop.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from standins.box import Box
-from standins.discovery import Registry
+from standins.node import StandInNode
+from standins.discovery import StandInDiscovery
 from tests.rig import Peer, run
 
 LOOP_TURNS = 6  # of the event loop, enough to accept a connection and start its handler
@@ -26,10 +26,10 @@
 
 
 def make_node() -> Server:
-    return Box("b")
+    return StandInNode("b")
 
 
-@pytest.mark.parametrize("make", [Peer, Registry, make_node])
+@pytest.mark.parametrize("make", [Peer, StandInDiscovery, make_node])
 @pytest.mark.parametrize("turns", range(LOOP_TURNS))
 def test_a_connection_accepted_just_before_the_stop_is_ended_too(
     make: Callable[[], Server], turns: int
@@ -50,4 +50,4 @@
                 received = b""
             assert received == b""
 
-    run(test(), patience_s=2.0)
+    run(test(), timeout_s=2.0)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -7,12 +7,12 @@
 
 from notchflow.interface import Outcome, Status
 from notchflow.net.connection import DECAY_INTERVAL_MS, IdleLimit
-from tests.rig import Rig, Seen, answer, run, serve_value, until
+from tests.rig import Rig, HttpMessage, answer, run, serve_value, wait_until
 
 
 def test_a_failure_in_the_middle_of_a_response_does_not_count_against_idle_time() -> None:
-    async def cut(request: Seen, writer: asyncio.StreamWriter) -> None:
-        if len(rig.nodes[0].seen) == 2:
+    async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        if len(rig.nodes[0].received) == 2:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nva")
             await writer.drain()
             writer.close()
@@ -22,9 +22,9 @@
     async def test() -> None:
         async with rig:
             client = await rig.connect()
-            await client.ask()
-            await client.ask()
-            await until(lambda: rig.sent == 2)
+            await client.request()
+            await client.request()
+            await wait_until(lambda: rig.forwarded_count == 2)
             assert sum(rig.host.idle_limit.failures) == 0
 
     rig = Rig(cut)
@@ -38,7 +38,7 @@
         async with Rig() as rig:
             client = await rig.connect()
             for _ in range(5):
-                assert (await client.ask()).status == 200
+                assert (await client.request()).status == 200
             assert rig.nodes[0].connections == 1
             (pool,) = rig.host.pools.values()
             (connection,) = pool.idle
@@ -46,7 +46,7 @@
             pool.close_expired(connection.idle_since + pool.idle_limit.limit_ms - 1)
             assert pool.idle, "idle for less than the limit"
             pool.close_expired(connection.idle_since + pool.idle_limit.limit_ms)
-            await until(lambda: not rig.nodes[0].open)
+            await wait_until(lambda: not rig.nodes[0].open)
             assert (
                 not pool.idle
             ), "nodes close connections at their own limit, and a request sent at that moment is reset"
@@ -59,15 +59,15 @@
 
     async def test() -> None:
         async with Rig(serve_value, serve_value) as rig:
-            outcomes = rig.told(Outcome)
+            outcomes = rig.record_events(Outcome)
             client = await rig.connect()
-            assert (await client.ask(path="/health/ready")).status == 200
+            assert (await client.request(path="/health/ready")).status == 200
             rig.host.descriptor_limit = 0
             for _ in range(3):
-                assert (await client.ask("PUT", body=b"paid", X_Call_Class="once")).status == 503
+                assert (await client.request("PUT", body=b"paid", X_Call_Class="once")).status == 503
             assert {o.status for o in outcomes} == {Status.MOOT}
             rig.host.descriptor_limit = 100
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
             assert not any(n.failures or n.ejected_until for n in rig.host.balancer.fleet.ready)
 
     run(test())
