--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -80,7 +80,7 @@
     world.run(20_000.0)
     admitted = [name for _, name, _, done in world.log if done]
     minority_share = sum(name in NAMES[:2] for name in admitted) / 20.0 / LIMIT.rate
-    return minority_share, len(admitted) / 20.0 / LIMIT.rate - minority_share, world.ledgers["t"].worst
+    return minority_share, len(admitted) / 20.0 / LIMIT.rate - minority_share, world.ledgers["t"].max_excess
 
 
 def measure_faults(kind: str, seeds: int) -> tuple[float, float]:
@@ -90,7 +90,7 @@
         world, rng = create_world(kind, seed), random.Random(seed)
         for name in NAMES:
             world.demand(name, "t", 80.0, FOREVER)
-        world.loss = world.doubled = 0.1
+        world.loss = world.duplicated = 0.1
         before = world.ledgers["t"].admitted
         for _ in range(60):
             world.run(1_000.0)
@@ -107,7 +107,7 @@
                     world.islands(*([n] for n in NAMES))
                 case _:
                     world.cut = lambda a, b: False
-        worst = max(worst, world.ledgers["t"].worst)
+        worst = max(worst, world.ledgers["t"].max_excess)
         total += (world.ledgers["t"].admitted - before) / 60.0 / LIMIT.rate / seeds
     return worst, total
 
@@ -206,7 +206,7 @@
     world.run(5_000.0)
     admitted_undisturbed = sum(world.ledgers[key].admitted for key in keys[:busy]) - admitted_undisturbed
     world.messages = 0
-    world.loss = world.doubled = 0.05
+    world.loss = world.duplicated = 0.05
     seconds = 10
     for second in range(seconds):
         if second % 3 == 0:
@@ -219,7 +219,7 @@
         for name in rng.sample(names, size // 20):
             world.pause(name, 700.0)
         world.run(1_000.0)
-    worst = max(world.ledgers[key].worst for key in keys)
+    worst = max(world.ledgers[key].max_excess for key in keys)
     share = admitted_undisturbed / 5 / busy / LIMIT.rate
     print(
         f"{size} instances, {tenants} tenants, {busy} busy: {share:.2f} of the limits used while all is "
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -27,7 +27,7 @@
 
 from notchflow.cluster.model import Incarnation, Settings
 from notchflow.emulator.heartbeats import Heartbeats
-from notchflow.emulator.members import Fleet, Law
+from notchflow.emulator.members import Fleet, LinkModel
 from notchflow.faults import checks
 from notchflow.faults.rig import Outcome, Rig
 from notchflow.faults.schedule import Schedule
@@ -39,7 +39,7 @@
 
 FULL: Final = Settings()
 PLAIN: Final = replace(FULL, confirmations=0, suspicion_max_factor=1.0, local_health_max=1, stall_ms=1e12)
-LOSSY: Final = Law(loss=0.05)
+LOSSY: Final = LinkModel(loss=0.05)
 HOT_RATE: Final = 500.0  # requests per second
 SETTLE_MS, STALL_RUN_MS = 5_000.0, 20_000.0
 SETTLE_S = 4.0  # after the start, until all members know one another
@@ -47,7 +47,7 @@
 STALLED_SHARE, STALL_MS, STALL_INTERVAL_MS = 0.1, 4_000.0, 6_000.0
 
 
-def create_fleet(kind: str, size: int, seed: int, law: Law) -> Fleet:
+def create_fleet(kind: str, size: int, seed: int, law: LinkModel) -> Fleet:
     """Returns a started emulated fleet that runs this kind of membership protocol."""
     names = [f"p{number:04}" for number in range(size)]
 
@@ -74,17 +74,17 @@
 
 def measure_detection(kind: str, size: int, seed: int) -> dict[str, float]:
     """Measures the traffic of an idle fleet and the time until all members detect one death."""
-    fleet = create_fleet(kind, size, seed, Law())
+    fleet = create_fleet(kind, size, seed, LinkModel())
     heartbeats = kind == "heartbeats"
     fleet.run(START_GOSSIP_MS if not heartbeats else 2_000.0)
-    fleet.weigh = not (heartbeats and size > 100)
+    fleet.count_bytes = not (heartbeats and size > 100)
     fleet.datagrams.clear()
     fleet.bytes.clear()
     fleet.run(1_000.0)
     measured = {"datagrams": sum(fleet.datagrams.values()) / size}
-    if fleet.weigh:
+    if fleet.count_bytes:
         measured["bytes"] = sum(fleet.bytes.values()) / size
-    fleet.weigh = False
+    fleet.count_bytes = False
     victim = fleet.names[size // 2]
     fleet.history.clear()
     killed_at = fleet.sim.now
@@ -99,12 +99,12 @@
 
 def measure_healing(kind: str, size: int, seed: int) -> dict[str, float]:
     """Measures the time until all views are equal after a partition into halves that lasts 4 s."""
-    fleet = create_fleet(kind, size, seed, Law())
+    fleet = create_fleet(kind, size, seed, LinkModel())
     fleet.run(SETTLE_MS)
     fleet.net.islands(fleet.names[: size // 2], fleet.names[size // 2 :])
     fleet.run(4_000.0)
     fleet.net.islands()
-    durations_ms = fleet.until(lambda: len({m.view.digest for m in fleet.members()}) == 1, 60_000.0)
+    durations_ms = fleet.run_until(lambda: len({m.view.digest for m in fleet.members()}) == 1, 60_000.0)
     return {"heal": float("inf") if durations_ms is None else durations_ms}
 
 
@@ -312,9 +312,9 @@
 def cost(quick: bool) -> list[str]:
     """Measures the processor time of the protocol core and its codec by the size of the fleet."""
     for size in (3, 30) if quick else (3, 30, 300):
-        fleet = create_fleet("ours", size, 1, Law())
+        fleet = create_fleet("ours", size, 1, LinkModel())
         fleet.run(5_000.0)
-        fleet.weigh = True  # encodes and signs every message, as over a network
+        fleet.count_bytes = True  # encodes and signs every message, as over a network
         fleet.datagrams.clear()
         started_at, seconds = time.process_time(), 10.0 if size < 300 else 4.0
         fleet.run(seconds * 1e3)
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -25,7 +25,7 @@
 from rich.table import Table
 
 from notchflow.emulator.fixed_waits import FixedWaits
-from notchflow.emulator.watches import Day, Verdict, World
+from notchflow.emulator.watches import Day, DayResult, World
 from notchflow.interface import ListKind, RequestClass, Settings
 from notchflow.net.config import Config, load
 from notchflow.net.host import Host
@@ -40,7 +40,7 @@
 
 def play_silence(
     proxies: int, asked: bool, all_call_ms: float, watch_class: type[ListWatch], seed: int
-) -> Verdict:
+) -> DayResult:
     """Emulates a day on which all watches fall silent shortly before a node drains."""
     day = Day(
         proxies=proxies,
@@ -50,7 +50,7 @@
         changes=(DRAIN_MS,),
         seed=seed,
     )
-    return World(day, watch_class).play()
+    return World(day, watch_class).simulate()
 
 
 def compare_fleets(console: Console, seeds: int) -> bool:
--- a/notchflow/emulator/agreement.py
+++ b/notchflow/emulator/agreement.py
@@ -29,7 +29,7 @@
     ReadIndexResponse,
 )
 from notchflow.emulator.engine import Simulator
-from notchflow.emulator.members import between
+from notchflow.emulator.members import partition_filter
 
 COMPACT_EVERY: Final = 8  # entries applied between two snapshots
 FREQUENT_SNAPSHOTS: Final = RaftSettings(trailing_entries=4)
@@ -333,7 +333,7 @@
         self.names, self.settings, self.terms = list(names), settings, terms or SessionSettings()
         self.make, self.make_session = make, make_session
         self.sim, self.rng = Simulator(), random.Random(seed)
-        self.loss = self.doubled = 0.0
+        self.loss = self.duplicated = 0.0
         self.delay_ms, self.disk = (0.2, 2.0), (0.1, 3.0)
         self.late = 0.0  # share of messages with up to 1 s of additional delay
         self.cut: Callable[[str, str], bool] = lambda a, b: False
@@ -344,7 +344,7 @@
         self.operations: list[Operation] = []
         self.nodes: dict[str, Node] = {}
         self.first_acted_at: dict[int, float] = {}  # by version: when an instance first acted on it
-        self.longest = 0.0  # longest time, ms, that two instances acted on conflicting rules
+        self.longest_divergence_ms = 0.0  # longest time, ms, that two instances acted on conflicting rules
         self.messages = 0
         self.leaders: dict[int, str] = {}
         for name in self.names:
@@ -385,7 +385,7 @@
 
     def islands(self, *groups: Iterable[str]) -> None:
         """Partitions the network into these groups."""
-        self.cut = between(*groups)
+        self.cut = partition_filter(*groups)
 
     # -- messages
     def send(self, node: Node, to: str, body: Any) -> None:
@@ -393,7 +393,7 @@
         self.messages += 1
         if self.cut(node.name, to) or (self.loss and self.rng.random() < self.loss):
             return
-        copies = 2 if self.doubled and self.rng.random() < self.doubled else 1
+        copies = 2 if self.duplicated and self.rng.random() < self.duplicated else 1
         for _ in range(copies):
             delay = self.rng.uniform(*self.delay_ms)
             if self.late and self.rng.random() < self.late:
@@ -410,7 +410,7 @@
         node.receive(sender, incarnation, body)
 
     # -- clients
-    def operate(self, name: str, kind: str) -> Operation | None:
+    def start_operation(self, name: str, kind: str) -> Operation | None:
         """Starts a client's "read" or "change" at an instance; None where it does not run."""
         node = self.nodes[name]
         if not node.alive or self.sim.now < node.paused_until:
@@ -430,7 +430,7 @@
         """Advances the simulation."""
         self.sim.run(self.sim.now + ms)
 
-    def until(self, holds: Callable[[], bool], most_ms: float, step_ms: float = 10.0) -> float | None:
+    def run_until(self, holds: Callable[[], bool], most_ms: float, step_ms: float = 10.0) -> float | None:
         """Runs until a condition holds; returns the time taken in ms, or None after `most_ms`."""
         started_at = self.sim.now
         while not holds():
@@ -469,9 +469,9 @@
                 self.first_acted_at.setdefault(version, now)
         if oldest < newest:  # since when the first change that the oldest lacks has been acted on
             since = min(at for version, at in self.first_acted_at.items() if version > oldest)
-            self.longest = max(self.longest, now - since)
+            self.longest_divergence_ms = max(self.longest_divergence_ms, now - since)
 
-    def judge(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Returns all violations of the invariants."""
         found = list(self.broken)
         finished = [o for o in self.operations if o.ended < math.inf]
@@ -483,8 +483,8 @@
         if len(set(self.by_version.values())) != len(self.by_version):
             found.append("a change was applied twice")
         found += self._check_linearizable(finished)
-        if self.longest > self.terms.lease_ms * (1 + self.terms.clock_drift) + 20.0:
-            found.append(f"instances acted on conflicting rules for {self.longest:.0f} ms")
+        if self.longest_divergence_ms > self.terms.lease_ms * (1 + self.terms.clock_drift) + 20.0:
+            found.append(f"instances acted on conflicting rules for {self.longest_divergence_ms:.0f} ms")
         return found
 
     def _check_linearizable(self, finished: list[Operation]) -> list[str]:
--- a/notchflow/emulator/agreement_explorer.py
+++ b/notchflow/emulator/agreement_explorer.py
@@ -46,9 +46,9 @@
     beats: int = 0
     changes: int = 1
     losses: int = 0
-    doubles: int = 0
+    duplicates: int = 0
     crashes: int = 0
-    amnesias: int = 0
+    disk_losses: int = 0
 
 
 class CoreSummary(NamedTuple):
@@ -131,8 +131,8 @@
             yield Step(text, b, deliver, delivered_links=(position,))
             if remaining.losses:
                 yield Step(text + " lost", b, None, "losses", (position,))
-            if remaining.doubles:
-                yield Step(text + " twice", b, deliver, "doubles")
+            if remaining.duplicates:
+                yield Step(text + " twice", b, deliver, "duplicates")
     for instance, summary in enumerate(state.summaries):
         if not summary.is_leader and remaining.timeouts:
             yield Step(
@@ -152,13 +152,13 @@
             )
         if remaining.crashes:
             yield Step(f"{NAMES[instance]} crashes", instance, None, "crashes", loses_disk=False)
-        if remaining.amnesias and state.committed:
+        if remaining.disk_losses and state.committed:
             own_links = tuple(LINK_POSITIONS[instance, other] for other in range(3) if other != instance)
             yield Step(
                 f"{NAMES[instance]} forgets",
                 instance,
                 None,
-                "amnesias",
+                "disk_losses",
                 cleared_links=own_links,
                 loses_disk=True,
             )
@@ -177,7 +177,7 @@
     raft.tick(now)
 
 
-def take(state: State, step: Step) -> tuple[State, list[str]]:
+def take_step(state: State, step: Step) -> tuple[State, list[str]]:
     """Takes a step; returns the next state and the invariants that it violates."""
     now = max(state.now, step.not_before)
     remaining = (
@@ -255,7 +255,7 @@
         count += 1
         for step in steps(state):
             try:
-                next_state, problems = take(state, step)
+                next_state, problems = take_step(state, step)
             except AssertionError as error:
                 next_state, problems = state, [str(error)]
             if problems:
--- a/notchflow/emulator/agreement_trouble.py
+++ b/notchflow/emulator/agreement_faults.py
@@ -8,7 +8,7 @@
 from notchflow.emulator.agreement import World
 
 
-class Trouble:
+class RandomFaults:
     """A random schedule of faults and calls, by a seed."""
 
     def __init__(self, world: World, seed: int, amnesia: bool = True) -> None:
@@ -20,21 +20,21 @@
         20 s and that a change is committed afterwards."""
         world, rng = self.world, self.rng
         if rng.random() < 0.8:  # else the log begins during the faults
-            world.until(self._converged, 10_000.0)
+            world.run_until(self._converged, 10_000.0)
         world.disk = rng.choice(((0.1, 3.0), (0.1, 3.0), (1.0, 150.0)))
         end = world.sim.now + seconds * 1e3
         while world.sim.now < end:
             for _ in range(rng.randint(0, 3)):
-                world.operate(rng.choice(world.names), rng.choice(("change", "change", "read")))
+                world.start_operation(rng.choice(world.names), rng.choice(("change", "change", "read")))
             if rng.random() < 0.3:
                 self._inject_fault()
             world.run(rng.uniform(20.0, 400.0))
         self._end_faults()
-        if world.until(self._converged, 20_000.0) is None:
+        if world.run_until(self._converged, 20_000.0) is None:
             world.broken.append("instances did not converge within 20 s without faults")
         changes_before = len(world.by_version)
-        world.operate(world.names[0], "change")
-        if world.until(lambda: len(world.by_version) > changes_before, 5_000.0) is None:
+        world.start_operation(world.names[0], "change")
+        if world.run_until(lambda: len(world.by_version) > changes_before, 5_000.0) is None:
             world.broken.append("no change is committed without faults")
 
     def _converged(self) -> bool:
@@ -65,7 +65,7 @@
                 half = set(rest[: len(rest) // 2])
                 world.cut = lambda x, y: x != bridge and y != bridge and (x in half) != (y in half)
             case 6:
-                world.loss, world.doubled, world.late = rng.choice(
+                world.loss, world.duplicated, world.late = rng.choice(
                     ((0.0, 0.0, 0.0), (0.1, 0.1, 0.0), (0.3, 0.3, 0.05), (0.02, 0.5, 0.2))
                 )
             case 7 if self.amnesia:
@@ -89,7 +89,7 @@
     def _end_faults(self) -> None:
         world = self.world
         world.cut = lambda x, y: False
-        world.loss = world.doubled = world.late = 0.0
+        world.loss = world.duplicated = world.late = 0.0
         world.disk = (0.1, 3.0)
         for name in world.names:
             if not world.nodes[name].alive:
--- a/notchflow/emulator/budget_explorer.py
+++ b/notchflow/emulator/budget_explorer.py
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """`fates`: fates of messages by their number; `turn`: which instance is restarted and when; `pause`:
+    """`fates`: fates of messages by their number; `restart`: which instance is restarted and when; `pause`:
     which instance, when and for how long; `slow`: whose clock is slow by the maximum drift."""
 
     fates: tuple[tuple[int, str], ...]
-    turn: tuple[str, float] | None
+    restart: tuple[str, float] | None
     pause: tuple[str, float, float] | None
     slow: str | None
 
@@ -43,26 +43,26 @@
 
     messages: int = 12
     fates: tuple[str, ...] = ("lost", "doubled", "late", "too late")
-    turns: tuple[tuple[str, float], ...] = tuple(itertools.product(("p1", "p2"), (20.0, 300.0)))
+    restarts: tuple[tuple[str, float], ...] = tuple(itertools.product(("p1", "p2"), (20.0, 300.0)))
     pauses: tuple[tuple[str, float, float], ...] = tuple(
         itertools.product(("p1", "p2"), (20.0, 300.0), (400.0, 1_100.0))
     )
     slow: tuple[str | None, ...] = (None, "p2")
-    together: int = 1  # number of messages with a fault in one case
+    faulty_messages: int = 1  # number of messages with a fault in one case
 
     def cases(self) -> Iterator[Case]:
         """Enumerates all schedules."""
         single = list(itertools.product(range(self.messages), self.fates))
         fates = [
-            chosen for count in range(self.together + 1) for chosen in itertools.combinations(single, count)
+            chosen for count in range(self.faulty_messages + 1) for chosen in itertools.combinations(single, count)
         ]
-        for fate, turn, pause, slow in itertools.product(
-            fates, (None, *self.turns), (None, *self.pauses), self.slow
+        for fate, restart, pause, slow in itertools.product(
+            fates, (None, *self.restarts), (None, *self.pauses), self.slow
         ):
-            yield Case(fate, turn, pause, slow)
+            yield Case(fate, restart, pause, slow)
 
 
-class Play:
+class CaseRunner:
     """Runs one case: p2 and p3 demand more than the budget, p1 nothing, so that its share is lent."""
 
     def __init__(self, case: Case, budget: Budget) -> None:
@@ -79,8 +79,8 @@
         world.run(BEGIN_MS)
         world.fate = self._delays
         started_at = world.sim.now
-        if self.case.turn is not None:
-            world.sim.at(started_at + self.case.turn[1], self._restart, self.case.turn[0])
+        if self.case.restart is not None:
+            world.sim.at(started_at + self.case.restart[1], self._restart, self.case.restart[0])
         if self.case.pause is not None:
             who, at, ms = self.case.pause
             world.sim.at(started_at + at, world.pause, who, ms)
@@ -92,10 +92,10 @@
             usable = self._usable_tokens()
             if usable > self.budget.burst + ROUNDING:
                 return [f"{usable:.3f} tokens are usable, the budget is {self.budget.burst:g}"]
-        excess = world.ledgers[KEY].worst
+        excess = world.ledgers[KEY].max_excess
         if excess > ROUNDING:
             return [f"admissions exceeded the budget by {excess:.3f} requests"]
-        if not any(self.case.fates) and self.case.turn is None and self.case.pause is None:
+        if not any(self.case.fates) and self.case.restart is None and self.case.pause is None:
             return self._check_lending()
         return []
 
@@ -144,17 +144,17 @@
 BUDGETS: Final = (Budget(40.0, 30.0), Budget(4.0, 2.0))
 
 
-def play(job: tuple[Case, Budget]) -> tuple[Case, list[str]]:
+def run_case(job: tuple[Case, Budget]) -> tuple[Case, list[str]]:
     """Runs one case with one budget; returns the case with the violated invariants."""
-    return job[0], Play(*job).run()
+    return job[0], CaseRunner(*job).run()
 
 
 def explore(scope: Scope, processes: int = 1) -> tuple[int, list[tuple[Case, list[str]]]]:
     """Runs all cases; returns their number and those with violations."""
     jobs = list(itertools.product(scope.cases(), BUDGETS))
     if processes <= 1:
-        found = [play(job) for job in jobs]
+        found = [run_case(job) for job in jobs]
     else:
         with ProcessPoolExecutor(processes) as pool:
-            found = list(pool.map(play, jobs, chunksize=64))
+            found = list(pool.map(run_case, jobs, chunksize=64))
     return len(jobs), [(case, broken) for case, broken in found if broken]
--- a/notchflow/emulator/budgets.py
+++ b/notchflow/emulator/budgets.py
@@ -15,7 +15,7 @@
 from notchflow.cluster.messages import LoanGrant, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.engine import Simulator
-from notchflow.emulator.members import between
+from notchflow.emulator.members import partition_filter
 from notchflow.tenancy.limits import TokenBucket
 
 RATE_TOLERANCE: Final = 1.05
@@ -143,21 +143,21 @@
     burst: float
 
 
-class Ledger:
+class AdmissionLedger:
     """Admissions of one budget, as a bucket of the whole limit with tolerance: it stays above zero as long as
     no window admits more than rate x window x 1.05 + burst."""
 
     def __init__(self, budget: Budget, at_ms: float) -> None:
         self.budget, self.level, self.updated_at = budget, budget.burst, at_ms
         self.admitted = self.refused = 0
-        self.worst = 0.0  # maximum number of tokens by which the limit was exceeded
+        self.max_excess = 0.0  # maximum number of tokens by which the limit was exceeded
 
     def admit(self, at_ms: float) -> None:
         """Records an admission at a time in milliseconds."""
         refilled = self.level + (at_ms - self.updated_at) / 1e3 * self.budget.rate * RATE_TOLERANCE
         self.level, self.updated_at = min(refilled, self.budget.burst) - 1.0, at_ms
         self.admitted += 1
-        self.worst = max(self.worst, -self.level)
+        self.max_excess = max(self.max_excess, -self.level)
 
 
 class World:
@@ -174,11 +174,11 @@
         self.names, self.kind, self.budgets = list(names), kind, budgets
         self.sim, self.rng, self.link_rng = Simulator(), random.Random(seed), random.Random(seed + 1)
         self.delay_ms = delay_ms
-        self.loss = self.doubled = 0.0
+        self.loss = self.duplicated = 0.0
         self.cut: Callable[[str, str], bool] = lambda a, b: False
         self.fate: Callable[[str, str, Any], list[float] | None] = lambda a, b, body: None
         self.nodes: dict[str, Node] = {}
-        self.ledgers = {key: Ledger(budget, 0.0) for key, budget in budgets.items()}
+        self.ledgers = {key: AdmissionLedger(budget, 0.0) for key, budget in budgets.items()}
         self.messages = 0
         self.log: list[tuple[float, str, str, bool]] = []  # time, instance, budget, admitted
         self.keep_log = False
@@ -224,7 +224,7 @@
 
     def islands(self, *groups: Iterable[str]) -> None:
         """Partitions the network into these groups."""
-        self.cut = between(*groups)
+        self.cut = partition_filter(*groups)
 
     def clock(self, node: Node) -> float:
         """Reads a process's clock, milliseconds."""
@@ -275,7 +275,7 @@
         fate = self.fate(node.name, to, body)
         if fate is None:
             lost = self.cut(node.name, to) or (self.loss and self.link_rng.random() < self.loss)
-            copies = 2 if self.doubled and self.link_rng.random() < self.doubled else 1
+            copies = 2 if self.duplicated and self.link_rng.random() < self.duplicated else 1
             fate = [] if lost else [self.link_rng.uniform(*self.delay_ms) for _ in range(copies)]
         for delay in fate:
             self.sim.after(delay, self._arrive, node.name, node.incarnation, to, body)
--- a/notchflow/emulator/command.py
+++ b/notchflow/emulator/command.py
@@ -115,7 +115,7 @@
     """Share of worth in time; late, refused, failed and dials per request; seconds taken; number of distinct
     rules violated."""
     started_at = time.monotonic()
-    ledger = World(day, DECIDERS[name]).play()
+    ledger = World(day, DECIDERS[name]).simulate()
     total = ledger.total()
     requests = max(total.offered, 1)
     return (
--- a/notchflow/emulator/explorer.py
+++ b/notchflow/emulator/explorer.py
@@ -16,7 +16,7 @@
 
 from notchflow.cluster.members import Members
 from notchflow.cluster.model import Settings, Standing, State
-from notchflow.emulator.members import EPOCH, Fleet, HistoryEvent, Law, Node
+from notchflow.emulator.members import EPOCH, Fleet, HistoryEvent, LinkModel, Node
 
 NAMES: Final = ("p1", "p2", "p3")
 HEAD_MS, TAIL_MS, STEP_MS = 1_500.0, 600.0, 50.0
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Still:
+class Interruption:
     """A member that is paused, or cut off in both directions ("cut") or for what it sends only ("mute")."""
 
     who: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class LifecycleEvent:
     """What happens to p1: kept (restart with its state folder), lost (restart with an empty folder and a
     clock one hour back), twin (a second process of the same name), tie (a twin whose incarnation has the same
     epoch), leave or kill."""
@@ -50,8 +50,8 @@
     """One fault schedule."""
 
     loss: int | None
-    still: Still | None
-    turn: Turn | None
+    interruption: Interruption | None
+    lifecycle_event: LifecycleEvent | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,33 +60,33 @@
 
     losses: int = 24
     times: tuple[float, ...] = (0.0, 300.0, 600.0, LATEST_FAULT_MS)
-    stills: tuple[tuple[str, float], ...] = (
+    interruptions: tuple[tuple[str, float], ...] = (
         ("pause", SHORT_MS),
         ("pause", LONG_MS),
         ("cut", SHORT_MS),
         ("cut", LONG_MS),
         ("mute", LONG_MS),
     )
-    turns: tuple[str, ...] = ("kept", "lost", "twin", "tie", "leave", "kill")
+    lifecycle_events: tuple[str, ...] = ("kept", "lost", "twin", "tie", "leave", "kill")
 
     def cases(self) -> Iterator[Case]:
         """Enumerates all schedules."""
         losses = [None, *range(self.losses)]
-        stills = [
+        interruptions = [
             None,
-            *(Still(who, at, *kind) for who, at, kind in itertools.product(NAMES, self.times, self.stills)),
+            *(Interruption(who, at, *kind) for who, at, kind in itertools.product(NAMES, self.times, self.interruptions)),
         ]
-        turns = [None, *(Turn(at, kind) for at in self.times for kind in self.turns)]
-        for loss, still, turn in itertools.product(losses, stills, turns):
-            yield Case(loss, still, turn)
+        lifecycle_events = [None, *(LifecycleEvent(at, kind) for at in self.times for kind in self.lifecycle_events)]
+        for loss, interruption, lifecycle_event in itertools.product(losses, interruptions, lifecycle_events):
+            yield Case(loss, interruption, lifecycle_event)
 
 
-class Play:
+class CaseRunner:
     """Runs one case on its own fleet."""
 
     def __init__(self, case: Case, settings: Settings = SETTINGS) -> None:
         self.case = case
-        self.fleet = Fleet(NAMES, settings, 7, Law(0, 0, 0.5, 0.5))
+        self.fleet = Fleet(NAMES, settings, 7, LinkModel(0, 0, 0.5, 0.5))
         self.nodes: list[Node] = []
         self.broken: list[str] = []
         self.messages_sent = 0
@@ -97,23 +97,23 @@
         fleet, case = self.fleet, self.case
         for name in NAMES:
             self.nodes.append(fleet.start(name))
-        if fleet.until(fleet.equal, HEAD_MS) is None:
+        if fleet.run_until(fleet.equal, HEAD_MS) is None:
             return ["views do not converge without a fault"]
         fleet.run(HEAD_MS)
-        fleet.net.swallow = lambda sender, to, body: self._drop()
+        fleet.net.drop_filter = lambda sender, to, body: self._drop()
         started_at = fleet.sim.now
-        if case.still is not None:
-            fleet.sim.at(started_at + case.still.at, self._start_interruption, case.still)
-        if case.turn is not None:
-            fleet.sim.at(started_at + case.turn.at, self._apply_turn, case.turn.kind)
+        if case.interruption is not None:
+            fleet.sim.at(started_at + case.interruption.at, self._start_interruption, case.interruption)
+        if case.lifecycle_event is not None:
+            fleet.sim.at(started_at + case.lifecycle_event.at, self._apply_lifecycle_event, case.lifecycle_event.kind)
         self._run_until(started_at + self._last_fault_end_ms())
         self._run_until(fleet.sim.now + self._recovery_ms())
         self._check()
         return self.broken
 
     def _last_fault_end_ms(self) -> float:
-        still, turn = self.case.still, self.case.turn
-        return max(still.at + still.ms if still is not None else 0.0, turn.at if turn is not None else 0.0)
+        interruption, lifecycle_event = self.case.interruption, self.case.lifecycle_event
+        return max(interruption.at + interruption.ms if interruption is not None else 0.0, lifecycle_event.at if lifecycle_event is not None else 0.0)
 
     def _recovery_ms(self) -> float:
         """Time allowed for recovery: healing of partitions and detection of a dead member."""
@@ -130,18 +130,18 @@
         self.messages_sent += 1
         return self.messages_sent - 1 == self.case.loss
 
-    def _start_interruption(self, still: Still) -> None:
+    def _start_interruption(self, interruption: Interruption) -> None:
         fleet = self.fleet
-        if still.kind == "pause":
-            fleet.pause(still.who, still.ms)
+        if interruption.kind == "pause":
+            fleet.pause(interruption.who, interruption.ms)
             return
-        if still.kind == "cut":
-            fleet.net.cut = lambda sender, to: still.who in (sender, to)
+        if interruption.kind == "cut":
+            fleet.net.cut = lambda sender, to: interruption.who in (sender, to)
         else:
-            fleet.net.cut = lambda sender, to: sender == still.who
-        fleet.sim.after(still.ms, fleet.net.islands)
+            fleet.net.cut = lambda sender, to: sender == interruption.who
+        fleet.sim.after(interruption.ms, fleet.net.islands)
 
-    def _apply_turn(self, kind: str) -> None:
+    def _apply_lifecycle_event(self, kind: str) -> None:
         fleet = self.fleet
         node = fleet.nodes["p1"]
         if kind == "kill" or kind in ("kept", "lost"):
@@ -186,18 +186,18 @@
         self._check_final_state()
         self._check_incarnations(fleet.history)
         case = self.case
-        short = case.still is None or case.still.ms <= SHORT_MS
+        short = case.interruption is None or case.interruption.ms <= SHORT_MS
         deaths = [t for t in fleet.history if t.what == "dead" and t.subject != "p1"]
-        if short and case.turn is None:
+        if short and case.lifecycle_event is None:
             deaths = [t for t in fleet.history if t.what == "dead"]
         if short and deaths:
             self._report(f"{deaths[0].subject} runs but was declared dead")
-        if case.still is not None and case.still.kind in ("cut", "mute") and case.still.ms == LONG_MS:
-            self._check_standing(case.still.who)
+        if case.interruption is not None and case.interruption.kind in ("cut", "mute") and case.interruption.ms == LONG_MS:
+            self._check_standing(case.interruption.who)
 
     def _check_standing(self, who: str) -> None:
         """A member without an answer for longer than the contact bound must have reported standing alone."""
-        if who == "p1" and self.case.turn is not None:
+        if who == "p1" and self.case.lifecycle_event is not None:
             return
         standings = {t.more["standing"] for t in self.fleet.history if t.who == who and t.what == "standing"}
         if Standing.ALONE.value not in standings:
@@ -221,10 +221,10 @@
                 alive = member.view.state(name) is State.ALIVE
                 if alive != (name in running):
                     self._report(f"{member.name} wrongly holds {name} for {'alive' if alive else 'gone'}")
-        turn = self.case.turn
-        if turn is not None and turn.kind == "leave":
+        lifecycle_event = self.case.lifecycle_event
+        if lifecycle_event is not None and lifecycle_event.kind == "leave":
             unaware = [m.name for m in members if m.view.state("p1") is not State.LEFT]
-            if unaware and self.case.still is None and self.case.loss is None:
+            if unaware and self.case.interruption is None and self.case.loss is None:
                 self._report(f"{unaware[0]} does not know that p1 has left")
         for member in members:
             complete = running | {n for n in NAMES if member.view.state(n) is State.LEFT} == set(NAMES)
@@ -253,17 +253,17 @@
                 left.add((*key, life))
 
 
-def play(case: Case) -> tuple[Case, list[str]]:
+def run_case(case: Case) -> tuple[Case, list[str]]:
     """Runs one case; returns it with the violated invariants."""
-    return case, Play(case).run()
+    return case, CaseRunner(case).run()
 
 
 def explore(scope: Scope, processes: int = 1) -> tuple[int, list[tuple[Case, list[str]]]]:
     """Runs all cases; returns their number and those with violations."""
     cases = list(scope.cases())
     if processes <= 1:
-        found = [play(case) for case in cases]
+        found = [run_case(case) for case in cases]
     else:
         with ProcessPoolExecutor(processes) as pool:
-            found = list(pool.map(play, cases, chunksize=64))
+            found = list(pool.map(run_case, cases, chunksize=64))
     return len(cases), [(case, broken) for case, broken in found if broken]
--- a/notchflow/emulator/members.py
+++ b/notchflow/emulator/members.py
@@ -43,11 +43,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Law:
+class LinkModel:
     """Link model: share of datagrams lost and duplicated, bounds of the uniform one-way delay (ms)."""
 
     loss: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     least_ms: float = 0.2
     most_ms: float = 1.0
 
@@ -64,7 +64,7 @@
     more: dict[str, object]
 
 
-def between(*groups: Iterable[str]) -> Callable[[str, str], bool]:
+def partition_filter(*groups: Iterable[str]) -> Callable[[str, str], bool]:
     """Returns a predicate: whether a link crosses from one group to another. Members in no group form one."""
     of = {name: number for number, group in enumerate(groups) for name in group}
     return lambda sender, to: of.get(sender, -1) != of.get(to, -1)
@@ -73,22 +73,22 @@
 class Net:
     """The network: one link model for all links, directed cuts, and a hook that may drop a datagram."""
 
-    def __init__(self, rng: random.Random, law: Law) -> None:
-        self.rng, self.law = rng, law
+    def __init__(self, rng: random.Random, link_model: LinkModel) -> None:
+        self.rng, self.link_model = rng, link_model
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
-        self.swallow: Callable[[str, str, Message], bool] = lambda sender, to, body: False
+        self.drop_filter: Callable[[str, str, Message], bool] = lambda sender, to, body: False
 
     def islands(self, *groups: Iterable[str]) -> None:
         """Partitions the fleet into these groups. Without groups, all links work."""
-        self.cut = between(*groups)
+        self.cut = partition_filter(*groups)
 
     def delays(self, sender: str, to: str, body: Message) -> list[float]:
         """Draws the delays after which the copies of a message arrive; empty where it is lost."""
-        law, rng = self.law, self.rng
-        if self.cut(sender, to) or self.swallow(sender, to, body) or (law.loss and rng.random() < law.loss):
+        link_model, rng = self.link_model, self.rng
+        if self.cut(sender, to) or self.drop_filter(sender, to, body) or (link_model.loss and rng.random() < link_model.loss):
             return []
-        copies = 2 if law.doubled and rng.random() < law.doubled else 1
-        return [law.least_ms + rng.random() * (law.most_ms - law.least_ms) for _ in range(copies)]
+        copies = 2 if link_model.duplicated and rng.random() < link_model.duplicated else 1
+        return [link_model.least_ms + rng.random() * (link_model.most_ms - link_model.least_ms) for _ in range(copies)]
 
 
 @dataclass(slots=True)
@@ -113,13 +113,13 @@
         names: Iterable[str],
         settings: Settings,
         seed: int,
-        law: Law | None = None,
+        link_model: LinkModel | None = None,
         make: Callable[[str, Incarnation, str, random.Random], MemberCore] | None = None,
     ) -> None:
         self.names, self.settings = list(names), settings
         self.sim = Simulator()
         self.rng = random.Random(seed)
-        self.net = Net(random.Random(seed + 1), law or Law())
+        self.net = Net(random.Random(seed + 1), link_model or LinkModel())
         self.make = make or self._member  # from a name, an incarnation, an address and a random generator
         self.nodes: dict[str, Node] = {}  # by name: the process started last
         self.nodes_by_address: dict[str, Node] = {}  # by address
@@ -129,7 +129,7 @@
         self.bytes: Counter[str] = Counter()
         self.exchanges = 0
         self.starts = 0
-        self.weigh = False  # encode messages to count their bytes
+        self.count_bytes = False  # encode messages to count their bytes
 
     def _member(self, name: str, incarnation: Incarnation, address: str, rng: random.Random) -> MemberCore:
         own_record = Record(name, incarnation, 0, State.ALIVE, address, "1")
@@ -186,7 +186,7 @@
             m.view.state(n) is State.ALIVE for m in members for n in alive
         )
 
-    def until(self, holds: Callable[[], bool], most_ms: float, step_ms: float = 20.0) -> float | None:
+    def run_until(self, holds: Callable[[], bool], most_ms: float, step_ms: float = 20.0) -> float | None:
         """Runs until a condition holds; returns the time taken in ms, or None after `most_ms`."""
         started_at = self.sim.now
         while not holds():
@@ -228,7 +228,7 @@
         self._count_bytes(node, body)
 
     def _count_bytes(self, node: Node, body: Message) -> None:
-        if self.weigh:
+        if self.count_bytes:
             self.bytes[node.name] += len(
                 encode_message(SECRET, Envelope(node.name, node.incarnation, 1, "p0000", body))
             )
@@ -255,7 +255,7 @@
         """Exchanges state over TCP: no loss, but no answer over a cut or from a paused process."""
         self.exchanges += 1
         self._count_bytes(node, body)
-        wait = EXCHANGE_DELAYS * self.net.law.most_ms
+        wait = EXCHANGE_DELAYS * self.net.link_model.most_ms
         self.sim.after(wait, self._handle_exchange, Sender(node.name, node.incarnation), node, to, body)
 
     def _handle_exchange(self, sender: Sender, initiator: Node, to: str, body: Message) -> None:
--- a/notchflow/emulator/proxy.py
+++ b/notchflow/emulator/proxy.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from notchflow.emulator.box import CacheNode, Job, NodeStatus
+from notchflow.emulator.cache_node import CacheNode, Job, NodeStatus
 from notchflow.emulator.deciders import Decider
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.ledger import Ledger
--- a/notchflow/emulator/send_explorer.py
+++ b/notchflow/emulator/send_explorer.py
@@ -30,7 +30,7 @@
         yield replace(day, grace_ms=DRAIN_GRACES_MS[number]), plan
 
 
-def play(case: tuple[Day, Plan], make: Callable[..., WatchedHost] = WatchedHost) -> tuple[int, list[str]]:
+def run_case(case: tuple[Day, Plan], make: Callable[..., WatchedHost] = WatchedHost) -> tuple[int, list[str]]:
     """Simulates a day; returns the number of requests and the violations."""
     world = Sends(*case, make)
     broken = world.run()
@@ -42,7 +42,7 @@
 ) -> tuple[int, list[tuple[tuple[Day, Plan], list[str]]]]:
     """Simulates the days in parallel; returns the number of requests and the days with violations."""
     with ProcessPoolExecutor(processes, initializer=logging.disable) as pool:
-        results = list(pool.map(play, cases, chunksize=8))
+        results = list(pool.map(run_case, cases, chunksize=8))
     return (
         sum(requests for requests, _ in results),
         [(case, broken) for case, (_, broken) in zip(cases, results, strict=True) if broken],
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -1,5 +1,5 @@
 """Simulation of whole proxies, from the list to the last byte: the real host, pools, discovery client, watch
-and policy run on `wires`, against simulated nodes. `watches` simulates the day and knows when a change counts
+and policy run on `simulated_loop`, against simulated nodes. `watches` simulates the day and knows when a change counts
 as announced; here the first and last byte of each request is checked against it. Times are milliseconds.
 """
 
@@ -12,8 +12,8 @@
 
 from httptools import HttpRequestParser
 
-from notchflow.emulator.watches import ONE_WAY_MS, Call, Day, Follower, World
-from notchflow.emulator.wires import Address, Loop, Pipe, SimulatedClock
+from notchflow.emulator.watches import ONE_WAY_MS, Call, Day, WatchingProxy, World
+from notchflow.emulator.simulated_loop import Address, Loop, Pipe, SimulatedClock
 from notchflow.interface import Effect, Limits, ListKind, RequestClass, Rules, Settings
 from notchflow.net.config import Config
 from notchflow.net.exchange import ClientRequest, LocalReply, UpstreamResponse
@@ -80,7 +80,7 @@
         self.answers += 1
         self.world.answers[status] = self.world.answers.get(status, 0) + 1
         if self.answers > 1:
-            self.world.verdict.broken.append(f"{self.call.url!r} was answered twice")
+            self.world.result.broken.append(f"{self.call.url!r} was answered twice")
         self.call.finish(status)
 
     def serve(self, call: ClientRequest, answer: UpstreamResponse) -> None:
@@ -129,7 +129,7 @@
             self.proxy.world.checker.record_applied(self.proxy, listing.revision)
 
 
-class Proxy(Follower):
+class Proxy(WatchingProxy):
     """One proxy process with the real host."""
 
     world: Sends
@@ -275,7 +275,7 @@
         super().__init__(day)
         self.sim.after(FIRST_REQUEST_MS, self.send_requests)
 
-    def start_proxy(self, number: int) -> Follower:
+    def start_proxy(self, number: int) -> WatchingProxy:
         """Starts a proxy process."""
         return Proxy(self, number)
 
@@ -301,7 +301,7 @@
     def send_requests(self) -> None:
         """Sends a few concurrent requests to every proxy that is ready."""
         self.sim.after(REQUEST_INTERVAL_MS, self.send_requests)
-        for proxy in self.followers:
+        for proxy in self.proxies:
             assert isinstance(proxy, Proxy)
             for _ in range(REQUESTS_AT_ONCE if proxy.host.list_is_current() else 0):
                 self.requests += 1
@@ -313,7 +313,7 @@
         now = self.sim.now
         announced = max((r for r in self.checker.made_at if self.checker.limit(proxy, r) < now), default=0)
         if not any(port in self.ports(r) for r in range(announced, self.revision + 1)):
-            self.verdict.broken.append(
+            self.result.broken.append(
                 f"a request {what} at :{port} at {now:.1f}, proxy {proxy.number}, announced: {announced}"
             )
 
@@ -367,11 +367,11 @@
 
     def run(self) -> list[str]:
         """Simulates the day; returns the violations in order."""
-        self.play()
+        self.simulate()
         for client in self.clients:
             if client.proxy.alive and not client.answers and client.call.arrived_at < self.sim.now - 5_000.0:
-                self.verdict.broken.append(f"{client.call.url!r} was not answered")
-        self.verdict.broken += [
+                self.result.broken.append(f"{client.call.url!r} was not answered")
+        self.result.broken += [
             f"exception in an event loop: {text}" for loop in self.owners for text in loop.exceptions
         ]
-        return self.verdict.broken
+        return self.result.broken
--- a/notchflow/emulator/spec.py
+++ b/notchflow/emulator/spec.py
@@ -76,7 +76,7 @@
             raise ValueError(f"load: {self}")
 
 
-Trouble = Literal["drain", "kill", "zone", "slow", "restart", "massacre"]
+FaultKind = Literal["drain", "kill", "zone", "slow", "restart", "massacre"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     proxies are restarted in steps; massacre: proxies are restarted at once."""
 
     at: float
-    what: Trouble
+    what: FaultKind
     share: float = 1.0
     lasts: float = 0.0
     times: float = 4.0
--- a/notchflow/emulator/watch_explorer.py
+++ b/notchflow/emulator/watch_explorer.py
@@ -36,9 +36,9 @@
         )
 
 
-def play(day: Day, make: WatchFactory = ListWatch) -> tuple[Day, list[str]]:
+def run_case(day: Day, make: WatchFactory = ListWatch) -> tuple[Day, list[str]]:
     """Simulates a day; returns it with the violations."""
-    return day, World(day, make).play().broken
+    return day, World(day, make).simulate().broken
 
 
 def explore(
@@ -47,14 +47,14 @@
     """Simulates all placements; returns their number and the days with violations."""
     schedules = days(asked, moments, changes)
     if processes == 1:
-        results = list(map(play, schedules))
+        results = list(map(run_case, schedules))
     else:
         with ProcessPoolExecutor(processes) as pool:
-            results = list(pool.map(play, schedules, chunksize=256))
+            results = list(pool.map(run_case, schedules, chunksize=256))
     return len(results), [(day, broken) for day, broken in results if broken]
 
 
-def draw(seed: int) -> Day:
+def random_day(seed: int) -> Day:
     """Returns a random day: faults of all kinds at random times, in a fleet of random size."""
     rng = random.Random(seed)
     proxies = rng.choice((1, 2, 6, 20, 60))
--- a/notchflow/emulator/watches.py
+++ b/notchflow/emulator/watches.py
@@ -57,7 +57,7 @@
 class Call:
     """A call as discovery sees it. `watching`: accepted, and waits for a change."""
 
-    follower: Follower
+    proxy: WatchingProxy
     request: StartCall
     begun_at: float
     address: int  # number of discovery's address that it goes to
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class DayResult:
     """Result of a day: violations and metrics."""
 
     broken: list[str] = field(default_factory=list)
@@ -83,7 +83,7 @@
         return max((n for second, n in self.by_second.items() if second >= 10), default=0)
 
 
-class Follower:
+class WatchingProxy:
     """One proxy's process: its watch, and the policy that decides when to call."""
 
     def __init__(self, world: World, number: int, revision: int) -> None:
@@ -214,9 +214,9 @@
         self.cut_next_answer: set[int] = set()
         self.serve_older_list: set[int] = set()
         self.answered_at: dict[int, float] = {}
-        self.verdict = Verdict()
+        self.result = DayResult()
         self.checker = ComplianceChecker(self)
-        self.followers = [self.start_proxy(number) for number in range(day.proxies)]
+        self.proxies = [self.start_proxy(number) for number in range(day.proxies)]
 
     def proxy_settings(self, rules: Rules) -> Settings:
         """Returns the settings of every proxy."""
@@ -229,11 +229,11 @@
             rules=rules,
         )
 
-    def start_proxy(self, number: int) -> Follower:
+    def start_proxy(self, number: int) -> WatchingProxy:
         """Starts a proxy's process with the first list."""
-        return Follower(self, number, 0)
+        return WatchingProxy(self, number, 0)
 
-    def play(self) -> Verdict:
+    def simulate(self) -> DayResult:
         """Simulates the day and returns its result."""
         day, sim = self.day, self.sim
         for at in day.changes:
@@ -254,11 +254,11 @@
         for at, number in day.restarts:
             sim.at(at, self.restart, number)
         sim.run(day.length_ms)
-        return self.verdict
+        return self.result
 
     def open_calls(self) -> list[Call]:
         """Returns all open calls."""
-        return [call for follower in self.followers for call in follower.calls.values()]
+        return [call for proxy in self.proxies for call in proxy.calls.values()]
 
     # -- faults
     def change(self) -> None:
@@ -276,16 +276,16 @@
 
     def silence(self) -> None:
         """Makes all open calls silent: they are never answered."""
-        for follower in self.followers:
-            for call in follower.calls.values():
+        for proxy in self.proxies:
+            for call in proxy.calls.values():
                 call.silent_at = self.sim.now if call.silent_at is None else call.silent_at
                 call.watching = False
-            self.checker.record_silence(follower)
+            self.checker.record_silence(proxy)
 
     def reset(self) -> None:
         """Resets the connections of all calls."""
         for call in self.open_calls():
-            call.follower.failed(call, "connection lost")
+            call.proxy.failed(call, "connection lost")
 
     def go_down(self) -> None:
         """Begins an outage of discovery."""
@@ -303,25 +303,25 @@
         """Moves discovery to another address and sends SIGHUP to all proxies."""
         self.address += 1
         old = self.open_calls()
-        for follower in self.followers:
-            follower.reload()
+        for proxy in self.proxies:
+            proxy.reload()
         for call in old:
-            self.sim.after(OLD_CLOSES_MS, call.follower.failed, call, "connection lost")
+            self.sim.after(OLD_CLOSES_MS, call.proxy.failed, call, "connection lost")
 
     def restart(self, number: int) -> None:
         """Kills a proxy's process and starts another one."""
-        self.followers[number].kill()
-        self.followers[number] = self.start_proxy(number)
-        self.checker.forget(self.followers[number])
+        self.proxies[number].kill()
+        self.proxies[number] = self.start_proxy(number)
+        self.checker.forget(self.proxies[number])
 
     # -- calls
     def receive_call(self, call: Call) -> None:
         """Receives a call: rejects it, queues it or accepts it."""
         if not call.open:
             return
-        number = call.follower.number
+        number = call.proxy.number
         follows = self.sim.now <= self.answered_at.get(number, -1e9) + 200.0
-        self.verdict.calls += 1
+        self.result.calls += 1
         if call.address != self.address:
             self.refuse(call)
         elif not self.day.asked or follows:
@@ -330,7 +330,7 @@
             self.sim.after(QUEUE_MS, self.refuse, call)
         else:
             second = int(self.sim.now // 1_000)
-            self.verdict.by_second[second] = self.verdict.by_second.get(second, 0) + 1
+            self.result.by_second[second] = self.result.by_second.get(second, 0) + 1
             work = min(self.day.all_call_ms / self.day.proxies, WORK_MAX_MS)
             done = max(self.busy_until, self.sim.now) + work
             if done - self.sim.now > QUEUE_MS:
@@ -347,7 +347,7 @@
             self.refuse(call)
             return
         call.watching = True
-        call.follower.failed_at = None
+        call.proxy.failed_at = None
         if not self.down and (call.request.revision is None or call.request.revision < self.revision):
             self.answer(call)
         else:
@@ -361,23 +361,23 @@
     def answer(self, call: Call) -> None:
         """Sends the answer of a call, with the day's faults."""
         call.watching = False
-        follower = call.follower
-        if follower.number in self.cut_next_answer:
-            self.cut_next_answer.discard(follower.number)
-            self.sim.after(ONE_WAY_MS, follower.failed, call, "connection lost")
+        proxy = call.proxy
+        if proxy.number in self.cut_next_answer:
+            self.cut_next_answer.discard(proxy.number)
+            self.sim.after(ONE_WAY_MS, proxy.failed, call, "connection lost")
             return
-        self.answered_at[follower.number] = self.sim.now
+        self.answered_at[proxy.number] = self.sim.now
         revision, complete = self.revision, call.request.revision is None
-        if follower.number in self.serve_older_list and revision > 0:
-            self.serve_older_list.discard(follower.number)
+        if proxy.number in self.serve_older_list and revision > 0:
+            self.serve_older_list.discard(proxy.number)
             revision = max(revision - 2, 0)
         listing = NodeList(revision, complete, ONE_MEMBER if complete else ())
-        self.sim.after(ONE_WAY_MS, follower.answered, call, listing)
+        self.sim.after(ONE_WAY_MS, proxy.answered, call, listing)
 
     def refuse(self, call: Call) -> None:
         """Rejects a call with 503."""
-        self.verdict.refused += 1
-        self.sim.after(ONE_WAY_MS, call.follower.failed, call, "status 503")
+        self.result.refused += 1
+        self.sim.after(ONE_WAY_MS, call.proxy.failed, call, "status 503")
 
 
 class ComplianceChecker:
@@ -396,109 +396,109 @@
     def record_change(self, revision: int) -> None:
         """Records a new revision."""
         self.made_at[revision] = self.world.sim.now
-        for follower in self.world.followers:
-            self.record_silence(follower)
-            self.world.sim.after(0.0, self.check, follower, revision)
+        for proxy in self.world.proxies:
+            self.record_silence(proxy)
+            self.world.sim.after(0.0, self.check, proxy, revision)
 
-    def record_silence(self, follower: Follower) -> None:
+    def record_silence(self, proxy: WatchingProxy) -> None:
         """Records the pending changes as missed where only silent watches are open."""
         silent_until = [
             max(c.silent_at + SILENCE_MS, c.begun_at + c.request.wait_ms + WAIT_OVER_MS)
-            for c in follower.calls.values()
+            for c in proxy.calls.values()
             if c.silent_at is not None
         ]
-        if silent_until and len(silent_until) == len(follower.calls):
+        if silent_until and len(silent_until) == len(proxy.calls):
             for revision, made_at in self.made_at.items():
-                if revision > (follower.watch.revision or 0):
-                    self.missed_at.setdefault((follower.number, revision), max(made_at, min(silent_until)))
+                if revision > (proxy.watch.revision or 0):
+                    self.missed_at.setdefault((proxy.number, revision), max(made_at, min(silent_until)))
 
-    def forget(self, follower: Follower) -> None:
+    def forget(self, proxy: WatchingProxy) -> None:
         """Forgets what a restarted proxy knew."""
-        self.known_revisions.pop(follower.number, None)
+        self.known_revisions.pop(proxy.number, None)
         for revision in self.made_at:
-            self.announced_at.pop((follower.number, revision), None)
-            self.missed_at.pop((follower.number, revision), None)
-            self.check(follower, revision)
+            self.announced_at.pop((proxy.number, revision), None)
+            self.missed_at.pop((proxy.number, revision), None)
+            self.check(proxy, revision)
 
-    def record_answer(self, follower: Follower, revision: int) -> None:
+    def record_answer(self, proxy: WatchingProxy, revision: int) -> None:
         """Records an answer that has arrived; it counts from the time at which it was sent. Answers reset on
         the way do not count."""
         for known in self.made_at:
             if known <= revision:
-                self.announced_at.setdefault((follower.number, known), self.world.sim.now - ONE_WAY_MS)
+                self.announced_at.setdefault((proxy.number, known), self.world.sim.now - ONE_WAY_MS)
 
-    def announced_by(self, follower: Follower, revision: int, announced: bool = True) -> float:
-        """Returns when a change counts as announced, as known now. `written`: also by an answer that was
+    def announced_by(self, proxy: WatchingProxy, revision: int, announced: bool = True) -> float:
+        """Returns when a change counts as announced, as known now. `announced`: also by an answer that was
         sent."""
         world, made_at = self.world, self.made_at[revision]
         day, now = world.day, world.sim.now
-        best = self.announced_at.get((follower.number, revision), float("inf")) if announced else float("inf")
-        missed_at = self.missed_at.get((follower.number, revision))
-        reached = self._reachable_by(follower)
+        best = self.announced_at.get((proxy.number, revision), float("inf")) if announced else float("inf")
+        missed_at = self.missed_at.get((proxy.number, revision))
+        reached = self._reachable_by(proxy)
         if missed_at is not None:
             best = min(best, max(missed_at, reached))
-        elif any(c.watching for c in follower.calls.values()):
+        elif any(c.watching for c in proxy.calls.values()):
             pass  # the watch announces it
         elif not day.asked:
             # An agent that is down cannot be called: a proxy started since gets the change at its return.
-            unreachable = world.down and max(made_at, follower.started_at) > self._down_since()
+            unreachable = world.down and max(made_at, proxy.started_at) > self._down_since()
             best = min(best, float("inf") if unreachable else max(made_at, world.back_at))
         else:
-            held = day.ask_within_ms * (4 if follower.last_failed else 1)
+            held = day.ask_within_ms * (4 if proxy.last_failed else 1)
             best = min(
                 best,
                 max(
                     made_at + day.ask_within_ms,
-                    follower.last_call_at + held,
+                    proxy.last_call_at + held,
                     world.back_at + day.ask_within_ms if world.back_at else 0.0,
                     float("inf") if world.down else 0.0,
                 ),
             )
-        if follower.failed_at is not None and not any(c.watching for c in follower.calls.values()):
-            best = min(best, max(made_at + FAILED_MS, follower.failed_at + FAILED_MS, reached))
+        if proxy.failed_at is not None and not any(c.watching for c in proxy.calls.values()):
+            best = min(best, max(made_at + FAILED_MS, proxy.failed_at + FAILED_MS, reached))
         moved = max((at for at in day.moves if at <= now), default=-1e9)
-        return max(best, moved + HANGUP_MS, follower.ready_at)
+        return max(best, moved + HANGUP_MS, proxy.ready_at)
 
-    def _reachable_by(self, follower: Follower) -> float:
+    def _reachable_by(self, proxy: WatchingProxy) -> float:
         """Returns when discovery has been reachable for so long that all changes must be known. A proxy whose
         call was rejected could not reach it (in the mode in which lists are requested)."""
         world = self.world
         if not world.day.asked:
             return 0.0
-        return float("inf") if world.down else max(world.back_at, follower.refused_at) + FAILED_MS
+        return float("inf") if world.down else max(world.back_at, proxy.refused_at) + FAILED_MS
 
     def _down_since(self) -> float:
         return max((start for start, _ in self.world.day.downs if start <= self.world.sim.now), default=1e18)
 
-    def limit(self, follower: Follower, revision: int, announced: bool = True) -> float:
+    def limit(self, proxy: WatchingProxy, revision: int, announced: bool = True) -> float:
         """Returns by when a proxy must have applied a change."""
-        return self.announced_by(follower, revision, announced) + self.world.day.grace_ms + SLACK_MS
+        return self.announced_by(proxy, revision, announced) + self.world.day.grace_ms + SLACK_MS
 
-    def check(self, follower: Follower, revision: int) -> None:
+    def check(self, proxy: WatchingProxy, revision: int) -> None:
         """Reports a change that was not applied in time, or checks again when the time may be over."""
-        known = follower.watch.revision
-        if not follower.alive or (known is not None and known >= revision):
+        known = proxy.watch.revision
+        if not proxy.alive or (known is not None and known >= revision):
             return
-        limit, now = self.limit(follower, revision), self.world.sim.now
+        limit, now = self.limit(proxy, revision), self.world.sim.now
         if limit <= now:
-            self.world.verdict.slack_ms = min(self.world.verdict.slack_ms, limit - now)
+            self.world.result.slack_ms = min(self.world.result.slack_ms, limit - now)
             made_at = self.made_at[revision]
-            self.world.verdict.broken.append(
-                f"proxy {follower.number} lacks revision {revision}, made at {made_at:.0f}, at {now:.0f}"
+            self.world.result.broken.append(
+                f"proxy {proxy.number} lacks revision {revision}, made at {made_at:.0f}, at {now:.0f}"
             )
         else:
-            self.world.sim.at(min(limit, now + 100.0), self.check, follower, revision)
+            self.world.sim.at(min(limit, now + 100.0), self.check, proxy, revision)
 
-    def record_applied(self, follower: Follower, revision: int) -> None:
+    def record_applied(self, proxy: WatchingProxy, revision: int) -> None:
         """Records that a proxy has applied a list."""
-        now, verdict = self.world.sim.now, self.world.verdict
-        if revision < self.known_revisions.get(follower.number, 0):
-            verdict.broken.append(f"proxy {follower.number} went back to revision {revision} at {now:.0f}")
-        self.known_revisions[follower.number] = revision
+        now, result = self.world.sim.now, self.world.result
+        if revision < self.known_revisions.get(proxy.number, 0):
+            result.broken.append(f"proxy {proxy.number} went back to revision {revision} at {now:.0f}")
+        self.known_revisions[proxy.number] = revision
         for known, made_at in self.made_at.items():
-            key = follower.number, known
+            key = proxy.number, known
             if known > revision or self.announced_at.get(key) == float("-inf"):
                 continue
-            verdict.slack_ms = min(verdict.slack_ms, self.limit(follower, known, False) - now)
-            verdict.age_ms = max(verdict.age_ms, now - max(made_at, follower.started_at))
+            result.slack_ms = min(result.slack_ms, self.limit(proxy, known, False) - now)
+            result.age_ms = max(result.age_ms, now - max(made_at, proxy.started_at))
             self.announced_at[key] = float("-inf")
--- a/notchflow/emulator/world.py
+++ b/notchflow/emulator/world.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from notchflow.emulator.box import CacheNode, NodeStatus, Origin
+from notchflow.emulator.cache_node import CacheNode, NodeStatus, Origin
 from notchflow.emulator.deciders import DeciderFactory, create_balancer
 from notchflow.emulator.engine import Draws, Simulator, Streams
 from notchflow.emulator.ledger import Ledger
@@ -217,7 +217,7 @@
         self._replace(node)
 
     # -- the run
-    def play(self) -> Ledger:
+    def simulate(self) -> Ledger:
         """Simulates the whole day and 3 s more for the last answers, and returns the ledger."""
         self.simulator.run(self.day.length)
         self.simulator.run(self.day.length + 3_000.0)
--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -26,16 +26,16 @@
 )
 from notchflow.emulator.agreement import Disk, World
 from notchflow.emulator.agreement_explorer import Scope, explore
-from notchflow.emulator.agreement_trouble import Trouble
+from notchflow.emulator.agreement_faults import RandomFaults
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 SMALL = (Scope(timeouts=1, changes=1), Scope(timeouts=1, changes=1, losses=1))
 LARGE = (
     Scope(timeouts=1, changes=2, crashes=1),
     Scope(timeouts=1, changes=2, losses=1),
-    Scope(timeouts=1, changes=1, losses=1, doubles=1),
+    Scope(timeouts=1, changes=1, losses=1, duplicates=1),
     Scope(timeouts=2, changes=0),
-    Scope(timeouts=2, changes=1, amnesias=1),
+    Scope(timeouts=2, changes=1, disk_losses=1),
 )
 MAX_STATES = 600_000  # per scope in LARGE; exploring one completely would take an hour
 
@@ -63,10 +63,10 @@
     names = ["p1", "p2", "p3"] if seed % 2 else ["p1", "p2", "p3", "p4", "p5"]
     world = World(names, seed, **options)
     try:
-        Trouble(world, seed).run(seconds)
+        RandomFaults(world, seed).run(seconds)
     except AssertionError as error:
         return [str(error)]
-    return world.judge()
+    return world.violations()
 
 
 def test_random_faults_break_no_rule() -> None:
@@ -80,17 +80,17 @@
 def test_changes_are_answered_and_a_partitioned_instance_acts_only_until_its_lease_ends() -> None:
     """Random faults alone would not show that changes succeed and leases are granted at all."""
     world = World(["p1", "p2", "p3"], 7)
-    assert world.until(
+    assert world.run_until(
         lambda: all(n.session.lease.is_valid(n.clock()) for n in world.nodes.values()), 5_000.0
     )
-    first = world.operate("p1", "change")
+    first = world.start_operation("p1", "change")
     world.run(200.0)
     assert first is not None and first.version > 0
     world.islands(["p1"], ["p2", "p3"])
     world.run(200.0)
-    in_minority = world.operate("p1", "change")
+    in_minority = world.start_operation("p1", "change")
     world.run(2_000.0)
-    in_majority = world.operate("p2", "change")
+    in_majority = world.start_operation("p2", "change")
     world.run(500.0)
     assert in_majority is not None and in_minority is not None
     assert in_majority.version > first.version and in_minority.version == -1
@@ -98,7 +98,7 @@
     assert partitioned.session.lease.is_valid(partitioned.clock()), "it acts on the rules it knows until then"
     world.run(2_000.0)
     assert not partitioned.session.lease.is_valid(partitioned.clock())
-    assert 1_000.0 < world.longest <= world.terms.divergence_bound_ms and world.judge() == []
+    assert 1_000.0 < world.longest_divergence_ms <= world.terms.divergence_bound_ms and world.violations() == []
 
 
 def test_an_instance_with_a_lost_disk_gets_a_snapshot_and_votes_again_afterwards() -> None:
@@ -106,14 +106,14 @@
     world.run(3_000.0)
     world.kill("p3")
     for _ in range(40):
-        world.operate("p1", "change")
+        world.start_operation("p1", "change")
         world.run(100.0)
-    assert world.until(lambda: len(world.by_version) == 40, 5_000.0) is not None
+    assert world.run_until(lambda: len(world.by_version) == 40, 5_000.0) is not None
     assert world.nodes["p1"].raft.log.base_index > 8 or world.nodes["p2"].raft.log.base_index > 8
     world.restart("p3", empty=True)
     assert not world.nodes["p3"].raft.joined
-    assert world.until(lambda: world.nodes["p3"].raft.joined, 10_000.0) is not None
-    assert world.nodes["p3"].machine.ids == world.state.ids and world.judge() == []
+    assert world.run_until(lambda: world.nodes["p3"].raft.joined, 10_000.0) is not None
+    assert world.nodes["p3"].machine.ids == world.state.ids and world.violations() == []
 
 
 def test_the_first_election_needs_the_whole_roster_and_the_largest_state_wins() -> None:
@@ -157,9 +157,9 @@
     world.run(500.0)
     assert world.nodes[others[0]].raft.roster == tuple(sorted((leading_instance.name, others[0])))
     world.kill(others[1])
-    change = world.operate(leading_instance.name, "change")
+    change = world.start_operation(leading_instance.name, "change")
     world.run(500.0)
-    assert change is not None and change.version > 0 and world.judge() == []
+    assert change is not None and change.version > 0 and world.violations() == []
 
 
 def test_a_leader_counts_its_own_entries_once_they_are_durable() -> None:
@@ -185,7 +185,7 @@
     world.run(3_000.0)
     leading_instance = next(n for n in world.nodes.values() if n.raft.role is replica.Role.LEADER)
     world.islands([leading_instance.name], [n for n in world.names if n != leading_instance.name])
-    read = world.operate(leading_instance.name, "read")
+    read = world.start_operation(leading_instance.name, "read")
     world.run(5_000.0)
     assert read is not None and read.version == -1
 
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -14,8 +14,8 @@
 from notchflow.cluster.budgets import Account, Borrowed, Budgets, Loan, Lot, Share, TokenTerms, owners
 from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
-from notchflow.emulator.budget_explorer import BUDGETS, Play, Scope, explore
-from notchflow.emulator.budgets import Budget, Ledger, World
+from notchflow.emulator.budget_explorer import BUDGETS, CaseRunner, Scope, explore
+from notchflow.emulator.budgets import Budget, AdmissionLedger, World
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 TERMS = TokenTerms()
@@ -185,7 +185,7 @@
     before = world.ledgers["t"].admitted
     world.run(1_000.0)
     assert world.ledgers["t"].admitted - before >= 0.95 * 100
-    assert world.ledgers["t"].worst == 0.0
+    assert world.ledgers["t"].max_excess == 0.0
 
 
 def test_thirty_instances_share_a_budget_of_one_per_second() -> None:
@@ -194,7 +194,7 @@
     for name in names:
         world.demand(name, "t", 1.0, 1e9)
     world.run(60_000.0)
-    assert 20 <= world.ledgers["t"].admitted <= 61 and world.ledgers["t"].worst == 0.0
+    assert 20 <= world.ledgers["t"].admitted <= 61 and world.ledgers["t"].max_excess == 0.0
 
 
 @pytest.mark.parametrize("seed", range(30 if LONG else 4))
@@ -202,11 +202,11 @@
     """Loss, duplication, partitions, kills, pauses, and clock drift up to the bound. Separate limits and
     gossiped demand exceed the budget under the same faults."""
 
-    def play(kind: str) -> Ledger:
+    def play(kind: str) -> AdmissionLedger:
         world, rng = make_world(kind), random.Random(seed)
         for name in NAMES:
             world.demand(name, "t", 80.0, 1e9)
-        world.loss, world.doubled = rng.uniform(0, 0.3), rng.uniform(0, 0.3)
+        world.loss, world.duplicated = rng.uniform(0, 0.3), rng.uniform(0, 0.3)
         for _ in range(120):
             world.run(500.0)
             name = rng.choice(NAMES)
@@ -226,13 +226,13 @@
         return world.ledgers["t"]
 
     ours = play("ours")
-    assert ours.worst == 0.0 and ours.admitted > 0.5 * 100 * 60
-    assert play("today").worst > 100 and play("gossip").worst > 20
+    assert ours.max_excess == 0.0 and ours.admitted > 0.5 * 100 * 60
+    assert play("today").max_excess > 100 and play("gossip").max_excess > 20
 
 
 def test_every_schedule_within_the_bounds_holds() -> None:
     """272 cases in CI, 8,820 in the long run."""
-    scope = Scope() if LONG else Scope(messages=4, turns=(("p1", 300.0),), pauses=(("p2", 20.0, 1_100.0),))
+    scope = Scope() if LONG else Scope(messages=4, restarts=(("p1", 300.0),), pauses=(("p2", 20.0, 1_100.0),))
     count, violations = explore(scope, os.cpu_count() or 1)
     assert count == (8_820 if LONG else 272)
     assert violations == []
@@ -244,11 +244,11 @@
 
 def first_violation() -> list[str]:
     scope = Scope(
-        messages=5, turns=(("p1", 20.0), ("p1", 300.0)), pauses=(("p2", 20.0, 1_100.0),), slow=("p2",)
+        messages=5, restarts=(("p1", 20.0), ("p1", 300.0)), pauses=(("p2", 20.0, 1_100.0),), slow=("p2",)
     )
     for case in scope.cases():
         for budget in BUDGETS:
-            found = Play(case, budget).run()
+            found = CaseRunner(case, budget).run()
             if found:
                 return found
     return []
--- a/tests/cluster/test_explored.py
+++ b/tests/cluster/test_explored.py
@@ -16,7 +16,7 @@
 from notchflow.cluster.name_claim import NameClaim
 from notchflow.cluster.probes import ProbeOrder
 from notchflow.cluster.suspicion import Suspicion
-from notchflow.emulator.explorer import Play, Scope, explore
+from notchflow.emulator.explorer import CaseRunner, Scope, explore
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 SMALL = Scope(losses=1, times=(0.0, 600.0))
@@ -33,7 +33,7 @@
 def first_violation(scope: Scope) -> list[str]:
     """Violations of the first case that has any; empty if all hold."""
     for case in scope.cases():
-        found = Play(case).run()
+        found = CaseRunner(case).run()
         if found:
             return found
     return []
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from notchflow.emulator.box import CacheNode
+from notchflow.emulator.cache_node import CacheNode
 from notchflow.emulator.ledger import Ledger
 from notchflow.emulator.spec import Day, Event, Fleet, Load
 from notchflow.emulator.world import World
@@ -24,7 +24,7 @@
 def play_day(day: Day) -> tuple[Ledger, float]:
     """The ledger, and the maximum load of a cold node over the limit at which it fails."""
     world = World(day)
-    ledger = world.play()
+    ledger = world.simulate()
     return ledger, max(node.peak_overload for node in world.boxes.values())
 
 
@@ -94,7 +94,7 @@
 ) -> tuple[Ledger, list[CacheNode]]:
     """Simulates such a day; returns the ledger and the replacement nodes."""
     world = World(replacement_day(proxies, boxes, share, seed, *more))
-    ledger = world.play()
+    ledger = world.simulate()
     replacements = [node for node in world.boxes.values() if node.started_at > 0]
     assert len(replacements) >= 0.8 * share * boxes
     assert sum(node.arrivals > 0 for node in replacements) >= 0.9 * len(
--- a/tests/emulator/test_reproducible.py
+++ b/tests/emulator/test_reproducible.py
@@ -26,7 +26,7 @@
     """Cold nodes that fail with requests in progress: the baseline sends them their full share at once."""
     day = Day(Fleet(boxes=10, proxies=20), Load(load=1.2), (Event(300.0, "drain", 0.9, 300.0),), 4_500.0, 2)
     world = World(day, DECIDERS["rendezvous"])
-    ledger = world.play()
+    ledger = world.simulate()
     assert ledger.broken, "nodes must fail"
     return repr((world.simulator.count, ledger.seconds, ledger.broken, ledger.latencies))
 
--- a/tests/emulator/test_sends.py
+++ b/tests/emulator/test_sends.py
@@ -13,10 +13,10 @@
 
 from notchflow.emulator.engine import Simulator
 from notchflow.emulator.fixed_waits import FixedWaits
-from notchflow.emulator.send_explorer import PLANS, explore, play, schedules
+from notchflow.emulator.send_explorer import PLANS, explore, run_case, schedules
 from notchflow.emulator.sends import Sends, WatchedHost
 from notchflow.emulator.watches import Day
-from notchflow.emulator.wires import Loop, Pipe
+from notchflow.emulator.simulated_loop import Loop, Pipe
 from notchflow.interface import Event, ListKind, Membership, State
 from notchflow.net.node_list import NodeList
 from notchflow.net.pool import Pool
@@ -145,7 +145,7 @@
     for method, patch in patches.items():
         monkeypatch.setattr(Pool, method, patch)
     for last in LAST:
-        found = [text for plan in PLANS for text in play((day(asked, last, **faults), plan), host)[1]]
+        found = [text for plan in PLANS for text in run_case((day(asked, last, **faults), plan), host)[1]]
         if any("a request" in text for text in found):
             return
     pytest.fail("the checker reported no violation")
@@ -155,7 +155,7 @@
 def test_the_same_days_pass_without_a_fault(asked: bool) -> None:
     troubles: tuple[dict[str, Any], ...] = ({}, {"grace_ms": 100.0, "silences": ()})
     for faults in troubles:
-        assert [play((day(asked, **faults), plan))[1] for plan in PLANS] == [[]] * len(PLANS)
+        assert [run_case((day(asked, **faults), plan))[1] for plan in PLANS] == [[]] * len(PLANS)
 
 
 class ServerProtocol(asyncio.Protocol):
--- a/tests/emulator/test_watches.py
+++ b/tests/emulator/test_watches.py
@@ -7,7 +7,7 @@
 import pytest
 
 from notchflow.emulator.fixed_waits import FixedWaits
-from notchflow.emulator.watch_explorer import draw, explore, play
+from notchflow.emulator.watch_explorer import random_day, explore, run_case
 from notchflow.emulator.watches import Day, World
 from notchflow.net.node_list import NodeList
 from notchflow.net.watch import ApplyList, ListWatch, PendingCall, ReportFailure, WatchAction
@@ -24,7 +24,7 @@
 def test_watches_that_fall_silent_together_are_renewed_in_time(
     proxies: int, all_call_ms: float, asked: bool
 ) -> None:
-    verdict = World(Day(proxies=proxies, asked=asked, all_call_ms=all_call_ms, **SILENT)).play()  # type: ignore[arg-type]
+    verdict = World(Day(proxies=proxies, asked=asked, all_call_ms=all_call_ms, **SILENT)).simulate()  # type: ignore[arg-type]
     assert verdict.broken == [] and verdict.slack_ms >= (1_500 if asked else 250)
     assert verdict.age_ms <= (35_000 if asked else 3_000)
     assert verdict.busiest <= max(3, proxies * 1_000 / all_call_ms), "no more calls than discovery can accept"
@@ -40,7 +40,7 @@
             silences=(1_000.0, float(second)),
             changes=(1_500.0, second + 100.0),
         )
-        assert World(day).play().broken == [], second
+        assert World(day).simulate().broken == [], second
 
 
 @pytest.mark.parametrize("asked", [True, False])
@@ -52,7 +52,7 @@
 
 def test_random_days_with_all_kinds_of_faults_pass() -> None:
     for seed in range(4_000 if LONG else 40):
-        day, broken = play(draw(seed))
+        day, broken = run_case(random_day(seed))
         assert broken == [], day
 
 
@@ -164,8 +164,8 @@
     ],
 )
 def test_checker_reports_faults_in_the_watch(mutant: type[ListWatch]) -> None:
-    assert any(World(day, mutant).play().broken for day in FAULTY_DAYS)
+    assert any(World(day, mutant).simulate().broken for day in FAULTY_DAYS)
 
 
 def test_the_same_days_pass_without_a_fault() -> None:
-    assert [World(day).play().broken for day in FAULTY_DAYS] == [[]] * len(FAULTY_DAYS)
+    assert [World(day).simulate().broken for day in FAULTY_DAYS] == [[]] * len(FAULTY_DAYS)
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from notchflow.emulator.box import CacheNode, NodeStatus, Origin
+from notchflow.emulator.cache_node import CacheNode, NodeStatus, Origin
 from notchflow.emulator.deciders import DECIDERS, BaselineDecider, RandomChoice
 from notchflow.emulator.engine import Draws, Simulator, Streams
 from notchflow.emulator.spec import RULES, Day, Event, Fleet, Kind, Load
@@ -82,16 +82,16 @@
 
 
 def test_a_day_is_reproducible_and_its_clients_are_the_same_for_every_decider() -> None:
-    ledger, repeated = World(SMALL).play(), World(SMALL).play()
+    ledger, repeated = World(SMALL).simulate(), World(SMALL).simulate()
     assert ledger.seconds == repeated.seconds and ledger.latencies == repeated.latencies
-    other = World(SMALL, DECIDERS["random"]).play()
+    other = World(SMALL, DECIDERS["random"]).simulate()
     assert other.first_attempts == ledger.first_attempts
-    assert World(replace(SMALL, seed=2)).play().latencies != ledger.latencies
+    assert World(replace(SMALL, seed=2)).simulate().latencies != ledger.latencies
 
 
 def test_no_decider_breaks_a_rule_on_a_quiet_day_and_every_request_is_accounted_for() -> None:
     for name, make in DECIDERS.items():
-        ledger = World(replace(SMALL, load=Load(load=0.1, retries=0)), make).play()
+        ledger = World(replace(SMALL, load=Load(load=0.1, retries=0)), make).simulate()
         assert ledger.broken == [], name
         total = ledger.total()
         ended = total.in_time + total.late + total.refused + total.failed
@@ -135,7 +135,7 @@
 def test_rule_violation_is_reported(
     make: type[BaselineDecider], rule: str, events: tuple[Event, ...]
 ) -> None:
-    ledger = World(replace(SMALL, events=events), make).play()
+    ledger = World(replace(SMALL, events=events), make).simulate()
     assert rule in {broken.rule for broken in ledger.broken}
 
 
