--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -24,8 +24,8 @@
 
 from notchflow.cluster.histories import merge
 from notchflow.hosting.fleet import Fleet
-from standins.node import StandInNode, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
+from standins.node import NodeProfile, StandInNode
 
 AGREED_RULES: Final = 'rules = "fleet"'
 
--- a/benchmarks/effects.py
+++ b/benchmarks/effects.py
@@ -17,8 +17,8 @@
 
 from benchmarks.rig import ROOT, run_nodes
 from benchmarks.tenancy import run_hosted_proxy, run_paced_loads
-from standins.node import NodeProfile
 from standins.load import RequestSource, Tally
+from standins.node import NodeProfile
 
 RATE_PER_S = 120.0
 MAX_OTHER_COST_MS = 0.25  # increase of the median of keyed writes and reads, beyond noise
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -33,9 +33,9 @@
 from notchflow.faults.schedule import Schedule
 from notchflow.hosting.fleet import Fleet as ProcessFleet
 from notchflow.tenancy.model import Limits
-from standins.node import StandInNode, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
 from standins.load import OpenLoop
+from standins.node import NodeProfile, StandInNode
 
 FULL: Final = Settings()
 PLAIN: Final = replace(FULL, confirmations=0, suspicion_max_factor=1.0, local_health_max=1, stall_ms=1e12)
@@ -222,15 +222,17 @@
         for n in range(count)
     ]
     outcome = run_schedule(create_schedule(8, interval_s * count + 2.0, faults), 25.0)
-    durations_ms = [ms for detected_ms, _ in checks.detection_delays(outcome.lines) for ms in detected_ms.values()]
+    durations_ms = [
+        ms for detected_ms, _ in checks.detection_delays(outcome.lines) for ms in detected_ms.values()
+    ]
     worst = [
         max((ms for ms in detected_ms.values() if ms is not None), default=float("inf"))
         for detected_ms, _ in checks.detection_delays(outcome.lines)
     ]
     print_spread("SIGKILL to the last survivor's verdict, 8 instances", worst)
     print(
-        f"the formula says {outcome.bounds.detection_ms:.0f} ms; requests {outcome.request_count}, rules broken "
-        f"{[str(b) for b in outcome.violations]}"
+        f"the formula says {outcome.bounds.detection_ms:.0f} ms; requests {outcome.request_count}, "
+        f"rules broken {[str(b) for b in outcome.violations]}"
     )
     failures = [] if None not in durations_ms else ["a survivor never held the killed one dead"]
     return (
@@ -281,8 +283,8 @@
     suspected = sum(line["what"] == "suspect" for line in outcome.lines)
     print(
         f"calm: {seconds:.0f} s of 5% loss and {len(faults) - 1} pauses up to 300 ms, 8 instances: "
-        f"{len(false_deaths)} living members held dead, {suspected} suspicions, {outcome.request_count} requests, "
-        f"broken {[str(b) for b in outcome.violations]}"
+        f"{len(false_deaths)} living members held dead, {suspected} suspicions, "
+        f"{outcome.request_count} requests, broken {[str(b) for b in outcome.violations]}"
     )
     return [str(b) for b in [*false_deaths, *outcome.violations]]
 
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -24,9 +24,9 @@
 from typing import Final
 
 from benchmarks.rig import ROOT, cpu_s, memory_mb, wait_ready
-from standins.node import StandInNode
 from standins.discovery import StandInDiscovery, node_entry
 from standins.load import OpenLoop
+from standins.node import StandInNode
 from standins.ports import free_ports
 
 SIZES: Final = ((25, 400), (200, 3_200))
--- a/benchmarks/replacement.py
+++ b/benchmarks/replacement.py
@@ -34,8 +34,8 @@
 import uvloop
 
 from benchmarks.rig import ROOT, memory_mb
-from standins.node import StandInNode, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
+from standins.node import NodeProfile, StandInNode
 from standins.ports import free_ports
 
 AIM_MS = 300.0
@@ -190,7 +190,12 @@
     """Starts the proxy's processes, one after the other or side by side."""
 
     def __init__(
-        self, folder: Path, registry: StandInDiscovery, nodes: Sequence[StandInNode], inherited: bool, load: Load
+        self,
+        folder: Path,
+        registry: StandInDiscovery,
+        nodes: Sequence[StandInNode],
+        inherited: bool,
+        load: Load,
     ) -> None:
         self.folder = folder
         (self.port,) = free_ports(1)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -21,9 +21,9 @@
 
 import uvloop
 
-from standins.node import StandInNode, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
-from standins.load import RequestSource, OpenLoop, Tally, closed_loop
+from standins.load import OpenLoop, RequestSource, Tally, closed_loop
+from standins.node import NodeProfile, StandInNode
 from standins.ports import free_ports
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -72,7 +72,9 @@
 
 
 @contextmanager
-def run_nodes(count: int, work: NodeProfile, processes: int = 1) -> Iterator[tuple[str, list[tuple[str, str]]]]:
+def run_nodes(
+    count: int, work: NodeProfile, processes: int = 1
+) -> Iterator[tuple[str, list[tuple[str, str]]]]:
     """Runs nodes in processes of their own; yields the discovery address and each node's name and address."""
     with ExitStack() as stack:
         edges = [count * i // processes for i in range(processes + 1)]
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -28,8 +28,8 @@
 from benchmarks.rig import ROOT
 from benchmarks.soak_checks import Asked, Departure, Heard, Left, Record, Run, Stopped, Violation, check
 from notchflow.net.stalls import STALL_CHECK_MS, StallDetector
-from standins.node import StandInNode, Execution, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
+from standins.node import Execution, NodeProfile, StandInNode
 from standins.ports import free_ports
 
 SPAN_S: Final = 10.0
@@ -262,7 +262,9 @@
             await asyncio.gather(*clients)
         finally:
             self._stop_all(instances)
-        self.record.told = {n: self.registry.written_at[n] for n in self.draining if n in self.registry.written_at}
+        self.record.told = {
+            n: self.registry.written_at[n] for n in self.draining if n in self.registry.written_at
+        }
         return check(self.record)
 
     def _stop_all(self, instances: list[Instance]) -> None:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -238,7 +238,10 @@
         until, count = time.monotonic() + seconds, 0
         while time.monotonic() < until:
             engine.append(
-                [Change(RecordKind.PUT, b"key-%d" % (n * 7919 % 20_000), VALUE) for n in range(count, count + 200)]
+                [
+                    Change(RecordKind.PUT, b"key-%d" % (n * 7919 % 20_000), VALUE)
+                    for n in range(count, count + 200)
+                ]
             )
             count += 200
             engine.run_maintenance()
--- a/benchmarks/tenancy.py
+++ b/benchmarks/tenancy.py
@@ -2,10 +2,10 @@
 
 - flood: two tenants on one hosted proxy, one of them at ten times its limit; compares the share in time of
   the other with its share when alone, in the same run.
-- lookup: the work of `TenantAdmission` for a request with 10,000 tenants and keys compared with one, as a share of
-  the proxy's cost per request; and the throughput of the whole proxy with either, interleaved. Both request
-  the same number of distinct paths, so that ordering the nodes costs both the same. The platform's proxy runs
-  beside them for comparison.
+- lookup: the work of `TenantAdmission` for a request with 10,000 tenants and keys compared with one, as a
+  share of the proxy's cost per request; and the throughput of the whole proxy with either, interleaved.
+  Both request the same number of distinct paths, so that ordering the nodes costs both the same. The
+  platform's proxy runs beside them for comparison.
 - memory: resident bytes per tenant.
 """
 
@@ -39,12 +39,12 @@
 )
 from notchflow.net.exchange import ClientRequest, Downstream
 from notchflow.state.database import Database
-from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.admission import AdmissionSettings, TenantAdmission
+from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.keys import KEY, mint
 from notchflow.tenancy.model import ApiKey, Limits, Route, Tenant
+from standins.load import OpenLoop, RequestSource, Tally
 from standins.node import NodeProfile
-from standins.load import RequestSource, OpenLoop, Tally
 from standins.ports import free_ports
 
 AIM_MS = 300.0
@@ -246,7 +246,11 @@
         directory.put(Tenant(f"tenant-{number:05}"), 0.0)
         directory.put_key(ApiKey(new_key.id, f"tenant-{number:05}", new_key.digest))
         tokens.append(new_key.token.encode())
-    door, host, rng = TenantAdmission(directory, AdmissionSettings(), lambda: 0.0, b"00000000"), NullHost(), random.Random(1)
+    door, host, rng = (
+        TenantAdmission(directory, AdmissionSettings(), lambda: 0.0, b"00000000"),
+        NullHost(),
+        random.Random(1),
+    )
     door.host = host
     requests = [
         (b"/menus/c%d/d%d" % (i % 50, i // 50), b"Authorization: Bearer %b\r\n" % tokens[i % tenants])
--- a/notchflow/admin/operations.py
+++ b/notchflow/admin/operations.py
@@ -102,7 +102,9 @@
 class Operations:
     """The operations of the API; all run on one thread."""
 
-    def __init__(self, db: Database, defaults: ApiDefaults, wall_clock: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self, db: Database, defaults: ApiDefaults, wall_clock: Callable[[], float] = time.time
+    ) -> None:
         self.db, self.defaults, self.wall_clock = db, defaults, wall_clock
 
     # -- authentication and authorization
@@ -272,7 +274,9 @@
 
         return self.change_tenant(actor, tenant, if_match, "tenant.change", update)
 
-    def set_limits(self, actor: Actor, tenant: str, if_match: str | None, limits: Limits) -> ChangeResult[Tenant]:
+    def set_limits(
+        self, actor: Actor, tenant: str, if_match: str | None, limits: Limits
+    ) -> ChangeResult[Tenant]:
         """Sets the limits of a tenant."""
         return self.change_tenant(
             actor, tenant, if_match, "tenant.limits", lambda before: replace(before, limits=limits)
@@ -318,7 +322,9 @@
         """Keys of a tenant, each with the time of its last use (s since the epoch; None: never)."""
         return self.db.keys(self.visible_tenant(actor, tenant).id, after, limit)
 
-    def issue_key(self, actor: Actor, tenant: str, requested: m.KeyCreate) -> ChangeResult[tuple[ApiKey, str]]:
+    def issue_key(
+        self, actor: Actor, tenant: str, requested: m.KeyCreate
+    ) -> ChangeResult[tuple[ApiKey, str]]:
         """Creates a key; runs in the transaction of `run_once`. Returns the key and its secret text.
         ApiProblem 409: the tenant is retiring or gone, or has `MAX_KEYS` keys already."""
         owner, now = self.visible_tenant(actor, tenant), self.wall_clock()
--- a/notchflow/cluster/agreement/storage.py
+++ b/notchflow/cluster/agreement/storage.py
@@ -112,7 +112,8 @@
             )
         if batch.entries or batch.snapshot is not None or batch.first_index <= self.stored_last:
             changes += [
-                Change(RecordKind.DELETE, entry_key(index)) for index in range(last_index + 1, self.stored_last + 1)
+                Change(RecordKind.DELETE, entry_key(index))
+                for index in range(last_index + 1, self.stored_last + 1)
             ]
             self.stored_last = last_index
         self.committer.submit(changes, done)
@@ -124,7 +125,9 @@
     def _base_changes(self, base: LogBase, discard_all: bool = False) -> list[Change]:
         value = msgspec.msgpack.encode((base.index, base.term, base.roster))
         end = self.stored_last if discard_all else min(base.index, self.stored_last)
-        deletions = [Change(RecordKind.DELETE, entry_key(index)) for index in range(self.stored_base + 1, end + 1)]
+        deletions = [
+            Change(RecordKind.DELETE, entry_key(index)) for index in range(self.stored_base + 1, end + 1)
+        ]
         self.base, self.stored_base = base, base.index
         self.stored_last = base.index if discard_all else max(self.stored_last, base.index)
         return [Change(RecordKind.PUT, BASE_KEY, value), *deletions]
--- a/notchflow/effects/command.py
+++ b/notchflow/effects/command.py
@@ -9,7 +9,7 @@
 from notchflow.effects.record import decode
 from notchflow.store import tools
 from notchflow.store.engine import StoreError
-from notchflow.store.files import StoreLockedError, RealFiles
+from notchflow.store.files import RealFiles, StoreLockedError
 from notchflow.store.frames import Record
 from notchflow.store.manifest import ManifestError
 
--- a/notchflow/effects/service.py
+++ b/notchflow/effects/service.py
@@ -13,9 +13,11 @@
 from pathlib import Path
 from typing import Any, Final, Protocol
 
+from notchflow.effects.record import Effect, decode, fingerprint
 from notchflow.effects.tracker import (
     ActiveKey,
     Decision,
+    IdempotencyRule,
     IdempotencyTracker,
     Outcome,
     Phase,
@@ -23,15 +25,13 @@
     Reject,
     RejectReason,
     Replay,
-    IdempotencyRule,
     Start,
 )
-from notchflow.effects.record import Effect, decode, fingerprint
 from notchflow.net.exchange import ClientRequest, LocalReply
 from notchflow.net.timers import TimerId
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Change, StoreError
-from notchflow.store.frames import RecordKind, Record
+from notchflow.store.frames import Record, RecordKind
 from notchflow.tenancy.problems import reply
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,13 @@
     __slots__ = ("service", "key", "rule", "call", "send", "timer", "finished", "busy", "active_key")
 
     def __init__(
-        self, service: IdempotencyService, key: bytes, rule: IdempotencyRule, call: ClientRequest, busy: LocalReply, send: Send
+        self,
+        service: IdempotencyService,
+        key: bytes,
+        rule: IdempotencyRule,
+        call: ClientRequest,
+        busy: LocalReply,
+        send: Send,
     ) -> None:
         self.service, self.key, self.rule = service, key, rule
         self.call: ClientRequest | None = call
--- a/notchflow/emulator/budget_explorer.py
+++ b/notchflow/emulator/budget_explorer.py
@@ -54,7 +54,9 @@
         """Enumerates all schedules."""
         single = list(itertools.product(range(self.messages), self.fates))
         fates = [
-            chosen for count in range(self.faulty_messages + 1) for chosen in itertools.combinations(single, count)
+            chosen
+            for count in range(self.faulty_messages + 1)
+            for chosen in itertools.combinations(single, count)
         ]
         for fate, restart, pause, slow in itertools.product(
             fates, (None, *self.restarts), (None, *self.pauses), self.slow
--- a/notchflow/emulator/explorer.py
+++ b/notchflow/emulator/explorer.py
@@ -74,9 +74,15 @@
         losses = [None, *range(self.losses)]
         interruptions = [
             None,
-            *(Interruption(who, at, *kind) for who, at, kind in itertools.product(NAMES, self.times, self.interruptions)),
+            *(
+                Interruption(who, at, *kind)
+                for who, at, kind in itertools.product(NAMES, self.times, self.interruptions)
+            ),
+        ]
+        lifecycle_events = [
+            None,
+            *(LifecycleEvent(at, kind) for at in self.times for kind in self.lifecycle_events),
         ]
-        lifecycle_events = [None, *(LifecycleEvent(at, kind) for at in self.times for kind in self.lifecycle_events)]
         for loss, interruption, lifecycle_event in itertools.product(losses, interruptions, lifecycle_events):
             yield Case(loss, interruption, lifecycle_event)
 
@@ -105,7 +111,9 @@
         if case.interruption is not None:
             fleet.sim.at(started_at + case.interruption.at, self._start_interruption, case.interruption)
         if case.lifecycle_event is not None:
-            fleet.sim.at(started_at + case.lifecycle_event.at, self._apply_lifecycle_event, case.lifecycle_event.kind)
+            fleet.sim.at(
+                started_at + case.lifecycle_event.at, self._apply_lifecycle_event, case.lifecycle_event.kind
+            )
         self._run_until(started_at + self._last_fault_end_ms())
         self._run_until(fleet.sim.now + self._recovery_ms())
         self._check()
@@ -113,7 +121,10 @@
 
     def _last_fault_end_ms(self) -> float:
         interruption, lifecycle_event = self.case.interruption, self.case.lifecycle_event
-        return max(interruption.at + interruption.ms if interruption is not None else 0.0, lifecycle_event.at if lifecycle_event is not None else 0.0)
+        return max(
+            interruption.at + interruption.ms if interruption is not None else 0.0,
+            lifecycle_event.at if lifecycle_event is not None else 0.0,
+        )
 
     def _recovery_ms(self) -> float:
         """Time allowed for recovery: healing of partitions and detection of a dead member."""
@@ -192,7 +203,11 @@
             deaths = [t for t in fleet.history if t.what == "dead"]
         if short and deaths:
             self._report(f"{deaths[0].subject} runs but was declared dead")
-        if case.interruption is not None and case.interruption.kind in ("cut", "mute") and case.interruption.ms == LONG_MS:
+        if (
+            case.interruption is not None
+            and case.interruption.kind in ("cut", "mute")
+            and case.interruption.ms == LONG_MS
+        ):
             self._check_standing(case.interruption.who)
 
     def _check_standing(self, who: str) -> None:
--- a/notchflow/emulator/members.py
+++ b/notchflow/emulator/members.py
@@ -85,10 +85,17 @@
     def delays(self, sender: str, to: str, body: Message) -> list[float]:
         """Draws the delays after which the copies of a message arrive; empty where it is lost."""
         link_model, rng = self.link_model, self.rng
-        if self.cut(sender, to) or self.drop_filter(sender, to, body) or (link_model.loss and rng.random() < link_model.loss):
+        if (
+            self.cut(sender, to)
+            or self.drop_filter(sender, to, body)
+            or (link_model.loss and rng.random() < link_model.loss)
+        ):
             return []
         copies = 2 if link_model.duplicated and rng.random() < link_model.duplicated else 1
-        return [link_model.least_ms + rng.random() * (link_model.most_ms - link_model.least_ms) for _ in range(copies)]
+        return [
+            link_model.least_ms + rng.random() * (link_model.most_ms - link_model.least_ms)
+            for _ in range(copies)
+        ]
 
 
 @dataclass(slots=True)
--- a/notchflow/emulator/sends.py
+++ b/notchflow/emulator/sends.py
@@ -1,6 +1,7 @@
-"""Simulation of whole proxies, from the list to the last byte: the real host, pools, discovery client, watch
-and policy run on `simulated_loop`, against simulated nodes. `watches` simulates the day and knows when a change counts
-as announced; here the first and last byte of each request is checked against it. Times are milliseconds.
+"""Simulation of whole proxies, from the list to the last byte: the real host, pools, discovery client,
+watch and policy run on `simulated_loop`, against simulated nodes. `watches` simulates the day and knows
+when a change counts as announced; here the first and last byte of each request is checked against it.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 
 from httptools import HttpRequestParser
 
-from notchflow.emulator.watches import ONE_WAY_MS, Call, Day, WatchingProxy, World
 from notchflow.emulator.simulated_loop import Address, Loop, Pipe, SimulatedClock
+from notchflow.emulator.watches import ONE_WAY_MS, Call, Day, WatchingProxy, World
 from notchflow.interface import Effect, Limits, ListKind, RequestClass, Rules, Settings
 from notchflow.net.config import Config
 from notchflow.net.exchange import ClientRequest, LocalReply, UpstreamResponse
--- a/notchflow/faults/checks.py
+++ b/notchflow/faults/checks.py
@@ -226,7 +226,10 @@
     where a window exceeds it."""
     tokens, previous_t = burst + tolerance, 0
     for t in sorted(times):
-        tokens = min(tokens + (t - previous_t) / (1e3 * NS_PER_MS) * rate * RATE_LIMIT_SLACK, burst + tolerance) - 1.0
+        tokens = (
+            min(tokens + (t - previous_t) / (1e3 * NS_PER_MS) * rate * RATE_LIMIT_SLACK, burst + tolerance)
+            - 1.0
+        )
         previous_t = t
         if tokens < 0:
             return [
--- a/notchflow/faults/command.py
+++ b/notchflow/faults/command.py
@@ -13,7 +13,7 @@
 from notchflow.faults.rig import Outcome, Rig
 from notchflow.faults.schedule import Schedule, draw, load
 from notchflow.faults.shrink import shrink
-from notchflow.hosting.file import Issue, InvalidFileError
+from notchflow.hosting.file import InvalidFileError, Issue
 from notchflow.hosting.fleet import StartError
 
 
@@ -127,6 +127,6 @@
     convergence = "never" if outcome.convergence_ms is None else f"{outcome.convergence_ms:.0f} ms"
     verdict = f"{len(outcome.violations)} rules broken" if outcome.violations else "held"
     return (
-        f"seed {plan.seed}: {verdict}; {plan.instances} instances, {outcome.request_count} requests, views equal "
-        f"{convergence} after the end; faults: {kinds}"
+        f"seed {plan.seed}: {verdict}; {plan.instances} instances, {outcome.request_count} requests, "
+        f"views equal {convergence} after the end; faults: {kinds}"
     )
--- a/notchflow/faults/rig.py
+++ b/notchflow/faults/rig.py
@@ -25,10 +25,10 @@
 from notchflow.faults.schedule import ALL, Schedule
 from notchflow.hosting.fleet import Fleet, Instance, Ports
 from notchflow.tenancy.model import Limits
-from standins.node import StandInNode, Execution, NodeProfile
 from standins.connections import ConnectionRecord
 from standins.discovery import StandInDiscovery, node_entry
 from standins.load import OpenLoop, StallHook
+from standins.node import Execution, NodeProfile, StandInNode
 from standins.ports import free_ports
 from standins.relay import HEALTHY, LinkBehavior, Mesh
 from standins.stalls import no_stall
@@ -69,8 +69,8 @@
         limits: Limits | None = None,
         stall: StallHook = no_stall,
     ) -> None:
-        """`rate`: requests a second at each instance. `extra_settings`: TOML added to the settings. `limits`: of
-        the tenant, checked if given. `stall` is called at steps of this process and may block it."""
+        """`rate`: requests a second at each instance. `extra_settings`: TOML added to the settings. `limits`:
+        of the tenant, checked if given. `stall` is called at steps of this process and may block it."""
         self.limits, self.stall = limits, stall
         self.folder, self.plan, self.rate, self.extra_settings = folder, plan, rate, extra_settings
         self.active_faults: dict[int, Any] = {}  # faults of links that are in effect
--- a/notchflow/faults/schedule.py
+++ b/notchflow/faults/schedule.py
@@ -9,8 +9,8 @@
 
 from pydantic import Field, ValidationError
 
+from notchflow.hosting.file import InvalidFileError, format_message, format_place, read_toml
 from notchflow.hosting.file import Issue as FileIssue
-from notchflow.hosting.file import InvalidFileError, format_place, read_toml, format_message
 from notchflow.hosting.schema import MemberName, StrictModel
 
 ALL: Final = "*"
--- a/notchflow/hosting/demo.py
+++ b/notchflow/hosting/demo.py
@@ -25,9 +25,9 @@
 from rich.table import Table
 
 from notchflow.hosting.service import TOKEN_FILE
-from standins.node import StandInNode, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
 from standins.load import OpenLoop
+from standins.node import NodeProfile, StandInNode
 from standins.ports import free_ports
 
 START_TIMEOUT_S: Final = 20.0
--- a/notchflow/hosting/derived.py
+++ b/notchflow/hosting/derived.py
@@ -35,7 +35,9 @@
         kind = EFFECTS[c.effect]
         if file.effects is not None and kind is not Effect.SAFE:
             keep_s = file.effects.unsafe_s if kind is Effect.UNSAFE else file.effects.keyed_s
-            rules[c.name] = IdempotencyRule(kind, int(keep_s * 1e3), c.window_ms if kind is Effect.KEYED else 0.0)
+            rules[c.name] = IdempotencyRule(
+                kind, int(keep_s * 1e3), c.window_ms if kind is Effect.KEYED else 0.0
+            )
     return rules
 
 
--- a/notchflow/hosting/file.py
+++ b/notchflow/hosting/file.py
@@ -190,7 +190,10 @@
     try:
         return TypeAdapter(shape).validate_python(value)
     except ValidationError as error:
-        issues += [Issue(format_place(name, e["loc"]), format_message(dict(e))) for e in error.errors(include_url=False)]
+        issues += [
+            Issue(format_place(name, e["loc"]), format_message(dict(e)))
+            for e in error.errors(include_url=False)
+        ]
         return None
 
 
--- a/notchflow/hosting/rules.py
+++ b/notchflow/hosting/rules.py
@@ -359,7 +359,9 @@
             {"Retry-After": "1"},
         )
 
-    def _run_trial(self, call: Callable[..., ChangeResult[T]], args: Sequence[Any]) -> tuple[ChangeResult[T], int, Any]:
+    def _run_trial(
+        self, call: Callable[..., ChangeResult[T]], args: Sequence[Any]
+    ) -> tuple[ChangeResult[T], int, Any]:
         """Computes a change without keeping it. Returns its result, the version it builds on, its writes."""
         with self.db.dry_run() as writes:
             done = call(*args)
--- a/notchflow/hosting/service.py
+++ b/notchflow/hosting/service.py
@@ -34,11 +34,11 @@
 from notchflow.state.replicated import ApplyResult
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Engine, EngineOptions, StoreError
-from notchflow.store.files import StoreLockedError, RealFiles
+from notchflow.store.files import RealFiles, StoreLockedError
 from notchflow.store.manifest import ManifestError
 from notchflow.store.tools import store_clock
-from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.admission import TenantAdmission
+from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.model import Tenant, TenantState
 
 log = logging.getLogger(__name__)
@@ -177,7 +177,11 @@
         if self.membership is not None:
             self.membership.bind()
         fleet_rules = self._fleet_rules()
-        token = self.operations.ensure_operator_token() if fleet_rules is None or not fleet_rules.state.initialized else None
+        token = (
+            self.operations.ensure_operator_token()
+            if fleet_rules is None or not fleet_rules.state.initialized
+            else None
+        )
         if token is not None:
             _write_secret(self.file.state / TOKEN_FILE, token)
             log.info("wrote an operator token to %s", self.file.state / TOKEN_FILE)
@@ -267,7 +271,9 @@
         if self.membership is not None and self.membership.limits is not None:
             self.membership.limits.set_max_in_hand(self.host.longest_deadline_ms)
         self.directory.set_defaults(
-            file.tenants.limits.to_domain(), [r.to_domain() for r in file.tenants.routes], file.service.in_hand
+            file.tenants.limits.to_domain(),
+            [r.to_domain() for r in file.tenants.routes],
+            file.service.in_hand,
         )
         self.operations.defaults = api_defaults(file)
         self.admission.settings = admission_settings(file)
--- a/notchflow/state/replicated.py
+++ b/notchflow/state/replicated.py
@@ -68,7 +68,9 @@
 class ApplyResult:
     """The effects of applying log entries."""
 
-    command_results: list[tuple[str, int, bool]] = field(default_factory=list)  # command, its base, if it took effect
+    command_results: list[tuple[str, int, bool]] = field(
+        default_factory=list
+    )  # command, its base, if it took effect
     changes: list[Tenant | ApiKey] = field(default_factory=list)
     state_replaced: bool = False  # the full state was replaced
     other_state_replaced: bool = False  # the replaced state was a different one
--- a/notchflow/store/compaction.py
+++ b/notchflow/store/compaction.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from notchflow.store.frames import RecordKind, Record, expired
+from notchflow.store.frames import Record, RecordKind, expired
 
 MIN_GARBAGE_RATIO: Final = 0.5  # share of a segment that must be garbage before the rest is worth copying
 SMALL_SEGMENT_RATIO: Final = 0.1  # of a full segment: smaller ones are merged together
--- a/notchflow/store/engine.py
+++ b/notchflow/store/engine.py
@@ -25,9 +25,9 @@
     SEGMENT_HEADER,
     Batch,
     FrameError,
-    RecordKind,
     LocatedRecord,
     Record,
+    RecordKind,
     batch_length,
     check_sizes,
     decode_batch,
@@ -168,8 +168,8 @@
 
     # -- recovery
     def open(self) -> RecoveryReport:
-        """Locks the directory and recovers the store in it. Raises StoreLockedError, CorruptionError, ManifestError,
-        OSError."""
+        """Locks the directory and recovers the store in it. Raises StoreLockedError, CorruptionError,
+        ManifestError, OSError."""
         self.files.lock()
         try:
             loaded = manifest.load(self.files)
--- a/notchflow/store/hints.py
+++ b/notchflow/store/hints.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from notchflow.store.files import Files, read_file, write_file
-from notchflow.store.frames import RecordKind, LocatedRecord, crc
+from notchflow.store.frames import LocatedRecord, RecordKind, crc
 from notchflow.store.index import LENGTH_MASK, EntryColumns, digest, pack
 from notchflow.store.manifest import hint_name
 
--- a/notchflow/store/tools.py
+++ b/notchflow/store/tools.py
@@ -13,8 +13,8 @@
     SEGMENT_HEADER,
     Batch,
     FrameError,
-    RecordKind,
     Record,
+    RecordKind,
     decode_segment_header,
     encode_segment_header,
     expired,
@@ -166,8 +166,8 @@
 
 
 def compact(files: Files, clock: Callable[[], int]) -> tuple[int, int]:
-    """Runs all worthwhile compactions; returns the store's size before and after in bytes. Raises StoreLockedError,
-    CorruptionError, ManifestError, OSError."""
+    """Runs all worthwhile compactions; returns the store's size before and after in bytes. Raises
+    StoreLockedError, CorruptionError, ManifestError, OSError."""
     before = _size(files)
     engine = Engine(files, clock)
     engine.open()
@@ -184,7 +184,8 @@
 
 def repair(files: Files) -> tuple[Damage, ...]:
     """Replaces each damaged segment by a new one with its readable batches, and keeps the old file as
-    `damaged-NAME`. The lost records may have been the newest of any key. Raises StoreLockedError, ManifestError."""
+    `damaged-NAME`. The lost records may have been the newest of any key. Raises StoreLockedError,
+    ManifestError."""
     files.lock()
     try:
         damages = [d for d in check(files).damages if not d.torn]
--- a/notchflow/tenancy/metrics.py
+++ b/notchflow/tenancy/metrics.py
@@ -33,4 +33,11 @@
 
 
 def _values(usage: Usage) -> tuple[int, ...]:
-    return (usage.asked, usage.served, usage.failed, sum(usage.refused.values()), usage.in_hand, usage.bytes_held)
+    return (
+        usage.asked,
+        usage.served,
+        usage.failed,
+        sum(usage.refused.values()),
+        usage.in_hand,
+        usage.bytes_held,
+    )
--- a/standins/node.py
+++ b/standins/node.py
@@ -45,7 +45,9 @@
         self.name, self.profile = name, profile or NodeProfile()
         self.executions: Counter[tuple[str, str, str]] = Counter()
         self.on_execution: Callable[[Execution, dict[bytes, bytes], bytes], None] | None = None
-        self.on_request_received: Callable[[str], None] | None = None  # called with the X-Call-Id of each request
+        self.on_request_received: Callable[[str], None] | None = (
+            None  # called with the X-Call-Id of each request
+        )
         self.on_step: Callable[[str], None] = no_stall
         self.busy_cores = 0
         self.queue: deque[Callable[[], None]] = deque()
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -23,7 +23,7 @@
 )
 
 from notchflow.admin.api import Backend, create_app
-from notchflow.admin.operations import Change, ApiDefaults, Operations
+from notchflow.admin.operations import ApiDefaults, Change, Operations
 from notchflow.state.database import Database
 from notchflow.tenancy.model import Limits, TenantState
 
--- a/tests/agreement/test_explored.py
+++ b/tests/agreement/test_explored.py
@@ -98,7 +98,9 @@
     assert partitioned.session.lease.is_valid(partitioned.clock()), "it acts on the rules it knows until then"
     world.run(2_000.0)
     assert not partitioned.session.lease.is_valid(partitioned.clock())
-    assert 1_000.0 < world.longest_divergence_ms <= world.terms.divergence_bound_ms and world.violations() == []
+    assert (
+        1_000.0 < world.longest_divergence_ms <= world.terms.divergence_bound_ms and world.violations() == []
+    )
 
 
 def test_an_instance_with_a_lost_disk_gets_a_snapshot_and_votes_again_afterwards() -> None:
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -15,7 +15,7 @@
 from notchflow.cluster.messages import LentTokens, LoanGrant, LoanItem, LoanRequest
 from notchflow.cluster.model import Incarnation
 from notchflow.emulator.budget_explorer import BUDGETS, CaseRunner, Scope, explore
-from notchflow.emulator.budgets import Budget, AdmissionLedger, World
+from notchflow.emulator.budgets import AdmissionLedger, Budget, World
 
 LONG = bool(os.environ.get("NOTCHFLOW_LONG"))
 TERMS = TokenTerms()
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -11,7 +11,7 @@
 from notchflow.interface import Outcome, Status
 from tests.crossings.forced import HeldDials, assert_all_finished
 from tests.crossings.test_client_gone import LIMITS, make_rig
-from tests.rig import Rig, HttpMessage, answer, run, serve_value, wait_until
+from tests.rig import HttpMessage, Rig, answer, run, serve_value, wait_until
 
 
 class ManualNode:
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -18,7 +18,7 @@
 from notchflow.net import client as client_module
 from notchflow.net.request_reader import MAX_PIPELINED
 from tests.crossings.forced import HeldDials, assert_all_finished, half_close
-from tests.rig import Client, Rig, Script, HttpMessage, run, serve_value, wait_until
+from tests.rig import Client, HttpMessage, Rig, Script, run, serve_value, wait_until
 
 LIMITS = Limits(max_attempts=3, second_copies=True, cancel=True, connect_timeout_ms=5_000.0)
 CLOSES: tuple[Callable[[Client], None], ...] = (half_close, Client.reset)
@@ -213,7 +213,9 @@
             client = await rig.connect()
             for _ in range(3 * MAX_PIPELINED):
                 client.send()
-            await wait_until(lambda: any(c.pipeline_full for c in rig.host.frontend.clients) and rig.forwarded_count)
+            await wait_until(
+                lambda: any(c.pipeline_full for c in rig.host.frontend.clients) and rig.forwarded_count
+            )
             end(client)
             await wait_until(lambda: all(c.has_left(rig.host.clock.now()) for c in rig.host.frontend.clients))
             gate.open.set()
--- a/tests/crossings/test_close.py
+++ b/tests/crossings/test_close.py
@@ -14,7 +14,7 @@
 from notchflow.net import frontend
 from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
-from tests.rig import Rig, HttpMessage, answer, run, serve_value, intercept_stop, wait_until
+from tests.rig import HttpMessage, Rig, answer, intercept_stop, run, serve_value, wait_until
 
 ASK = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 7\r\nX-Call-Class: read\r\nX-Budget: 5.0\r\n\r\n"
 LAST = ASK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -12,7 +12,7 @@
 from notchflow.net.frontend import MIN_IDLE_MS
 from tests.crossings.forced import assert_all_finished
 from tests.crossings.test_client_gone import Gate
-from tests.rig import Client, Rig, HttpMessage, run, serve_value, wait_until
+from tests.rig import Client, HttpMessage, Rig, run, serve_value, wait_until
 
 SOCKETS = 64  # leaves 40 for clients and nodes
 
--- a/tests/crossings/test_repeats.py
+++ b/tests/crossings/test_repeats.py
@@ -11,7 +11,7 @@
 from notchflow.interface import Effect, Outcome, RequestClass, Status
 from tests.crossings.forced import HeldDials, assert_all_finished
 from tests.crossings.test_client_gone import LIMITS, reset_connection
-from tests.rig import Rig, HttpMessage, run, serve_value, wait_until
+from tests.rig import HttpMessage, Rig, run, serve_value, wait_until
 
 WINDOW_MS = 200.0
 KEYED = RequestClass("keyed", 5_000, 5_000, effect=Effect.KEYED, window_ms=WINDOW_MS)
--- a/tests/door/hosted.py
+++ b/tests/door/hosted.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from notchflow.interface import Effect, RequestClass
-from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.admission import AdmissionSettings, TenantAdmission
+from notchflow.tenancy.directory import Directory
 from notchflow.tenancy.keys import KEY, mint
 from notchflow.tenancy.model import ApiKey, Limits, Route, Tenant, TenantState
 from tests.rig import Rig, Script
--- a/tests/effects/test_service.py
+++ b/tests/effects/test_service.py
@@ -9,17 +9,17 @@
 
 import pytest
 
+from notchflow.effects.record import Effect, Fate
 from notchflow.effects.service import Guard, IdempotencyService, boot_id
 from notchflow.effects.tracker import IdempotencyRule
-from notchflow.effects.record import Effect, Fate
 from notchflow.interface import Effect as Kind
 from notchflow.net.exchange import ClientRequest, Downstream, LocalReply
 from notchflow.store.commit import Committer
 from notchflow.store.engine import Engine
 from standins.faulty_files import FaultyFiles
 from tests.rig import run, wait_until
-from tests.store.test_commit import BlockedSync
 from tests.store.model import SMALL
+from tests.store.test_commit import BlockedSync
 
 BUSY = LocalReply(503)
 RULES = {"pay": IdempotencyRule(Kind.UNSAFE, 60_000), "slot": IdempotencyRule(Kind.KEYED, 60_000, 750.0)}
@@ -49,7 +49,9 @@
         self.store.start()
         self.timers: dict[int, tuple[Callable[..., None], Any]] = {}
         self.now = 5_000
-        self.service = IdempotencyService(self.store, cast(Any, self), self._cancel, boot=7, clock=lambda: self.now)
+        self.service = IdempotencyService(
+            self.store, cast(Any, self), self._cancel, boot=7, clock=lambda: self.now
+        )
         self.service.rules = RULES
         self.sent: list[bytes] = []
 
--- a/tests/effects/test_tracker.py
+++ b/tests/effects/test_tracker.py
@@ -7,8 +7,10 @@
 
 import pytest
 
+from notchflow.effects.record import Effect, Fate, decode, fingerprint
 from notchflow.effects.tracker import (
     ActiveKey,
+    IdempotencyRule,
     IdempotencyTracker,
     InvalidTransition,
     Outcome,
@@ -17,10 +19,8 @@
     Reject,
     RejectReason,
     Replay,
-    IdempotencyRule,
     Start,
 )
-from notchflow.effects.record import Effect, Fate, decode, fingerprint
 from notchflow.interface import Effect as Kind
 
 UNSAFE = IdempotencyRule(Kind.UNSAFE, 60_000)
--- a/tests/emulator/test_sends.py
+++ b/tests/emulator/test_sends.py
@@ -15,8 +15,8 @@
 from notchflow.emulator.fixed_waits import FixedWaits
 from notchflow.emulator.send_explorer import PLANS, explore, run_case, schedules
 from notchflow.emulator.sends import Sends, WatchedHost
-from notchflow.emulator.watches import Day
 from notchflow.emulator.simulated_loop import Loop, Pipe
+from notchflow.emulator.watches import Day
 from notchflow.interface import Event, ListKind, Membership, State
 from notchflow.net.node_list import NodeList
 from notchflow.net.pool import Pool
--- a/tests/emulator/test_watches.py
+++ b/tests/emulator/test_watches.py
@@ -7,7 +7,7 @@
 import pytest
 
 from notchflow.emulator.fixed_waits import FixedWaits
-from notchflow.emulator.watch_explorer import random_day, explore, run_case
+from notchflow.emulator.watch_explorer import explore, random_day, run_case
 from notchflow.emulator.watches import Day, World
 from notchflow.net.node_list import NodeList
 from notchflow.net.watch import ApplyList, ListWatch, PendingCall, ReportFailure, WatchAction
--- a/tests/faults/test_lists.py
+++ b/tests/faults/test_lists.py
@@ -20,7 +20,7 @@
 from notchflow.net.watch import RENEWAL_RANGE_MS
 from standins.discovery import StandInDiscovery, node_entry
 from standins.ports import free_ports
-from tests.rig import Client, Peer, HttpMessage, answer, run, wait_until
+from tests.rig import Client, HttpMessage, Peer, answer, run, wait_until
 
 PROXIES, NODES = 4, 7
 GRACE_S = 0.25
@@ -108,7 +108,9 @@
         while True:
             asked += 1
             try:
-                seen = await client.request(path=f"/api/{asked * 2654435761 % 2**64:016x}", x_caller=process_name)
+                seen = await client.request(
+                    path=f"/api/{asked * 2654435761 % 2**64:016x}", x_caller=process_name
+                )
             except (AssertionError, ConnectionError):
                 return
             self.answers[number] += seen.status == 200
--- a/tests/hosting/rig.py
+++ b/tests/hosting/rig.py
@@ -15,7 +15,7 @@
 from notchflow.hosting.service import TOKEN_FILE
 from standins.discovery import StandInDiscovery, node_entry
 from standins.ports import free_ports
-from tests.rig import Client, Peer, Script, HttpMessage, answer, serve_value
+from tests.rig import Client, HttpMessage, Peer, Script, answer, serve_value
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 CONFIG = """
--- a/tests/hosting/test_cluster.py
+++ b/tests/hosting/test_cluster.py
@@ -15,8 +15,8 @@
 from notchflow.hosting.file import InvalidFileError, decode
 from notchflow.hosting.fleet import Fleet
 from notchflow.tenancy.model import Limits
-from standins.node import StandInNode, NodeProfile
 from standins.discovery import StandInDiscovery, node_entry
+from standins.node import NodeProfile, StandInNode
 from tests.hosting.rig import ROOT
 from tests.rig import run
 
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -27,7 +27,7 @@
     encode_frame,
 )
 from tests.helpers import make_balancer, make_request, make_settings, sends
-from tests.rig import Rig, HttpMessage, answer, run, serve_value, intercept_stop, wait_until
+from tests.rig import HttpMessage, Rig, answer, intercept_stop, run, serve_value, wait_until
 
 ANY = ("127.0.0.1", 0)
 
@@ -142,7 +142,9 @@
 def run_with_predecessor(tmp_path: Path, test: Test) -> None:
     async def play() -> None:
         listener = socket.create_server(ANY)
-        async with Rig(serve_value, serve_value, config_options={"accept_fd": os.dup(listener.fileno())}) as rig:
+        async with Rig(
+            serve_value, serve_value, config_options={"accept_fd": os.dup(listener.fileno())}
+        ) as rig:
             rig.host.handover = Handover(rig.host, str(tmp_path), "n0")
             rig.host.handover.start()
             await test(rig, tmp_path, listener)
@@ -181,7 +183,9 @@
             node.script = slow
         busy.send()
         half.writer.write(b"GET /api/00000000000000aa HTTP/1.1\r\nX-Call-Id: 1\r\n")
-        await wait_until(lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients))
+        await wait_until(
+            lambda: rig.host.metrics.open == 1 and any(c.arriving for c in rig.host.frontend.clients)
+        )
         new = await start_successor(rig, folder, listener)
         assert (
             len(new.listed_nodes) == 2 and new.discovery.revision == 41
--- a/tests/operations/test_metrics.py
+++ b/tests/operations/test_metrics.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from notchflow.operations.metrics import ProxyMetrics
-from tests.rig import Client, Rig, HttpMessage, answer, run, wait_until
+from tests.rig import Client, HttpMessage, Rig, answer, run, wait_until
 
 LINE = re.compile(r'svc_operations\{priority="(.+)",status="(\w+)"\} (\d+)')
 
--- a/tests/operations/test_settings.py
+++ b/tests/operations/test_settings.py
@@ -27,7 +27,7 @@
 from notchflow.net.process import on_sighup
 from notchflow.operations.key_paths import collect_key_paths, missing_key_paths
 from tests.helpers import LIMITS, make_balancer, make_request, make_settings, sends
-from tests.rig import Rig, HttpMessage, answer, run, wait_until
+from tests.rig import HttpMessage, Rig, answer, run, wait_until
 
 CLASS = {"Name": "read", "ObjectiveMs": 300, "DeadlineMs": 500, "Effect": "repeatable"}
 FILE: dict[str, Any] = {
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -202,7 +202,9 @@
         **changes: Any,
     ) -> None:
         self.door = door
-        self.answers_first_call = answers_first_call  # discovery answers the first call of a new process at once
+        self.answers_first_call = (
+            answers_first_call  # discovery answers the first call of a new process at once
+        )
         self.nodes = [Peer(script) for script in scripts or (serve_value,)]
         self.discovery = Peer(self._answer_discovery)
         self.members = members
--- a/tests/store/test_commit.py
+++ b/tests/store/test_commit.py
@@ -12,8 +12,8 @@
 
 from notchflow.store.commit import Committer, QueueFullError
 from notchflow.store.engine import Change, DiskFullError, Engine, StoreError, StoreFailedError, StoreState
-from notchflow.store.files import StoreLockedError, RealFiles
-from notchflow.store.frames import RecordKind, Record
+from notchflow.store.files import RealFiles, StoreLockedError
+from notchflow.store.frames import Record, RecordKind
 from notchflow.store.tools import store_clock
 from standins.faulty_files import FaultyFile, FaultyFiles
 from tests.rig import run
--- a/tests/store/test_frames.py
+++ b/tests/store/test_frames.py
@@ -11,8 +11,8 @@
     KEY_MAX,
     VALUE_MAX,
     FrameError,
-    RecordKind,
     Record,
+    RecordKind,
     crc,
     decode_batch,
     decode_record,
@@ -59,7 +59,9 @@
 
 
 def test_every_flipped_bit_and_truncation_of_a_batch_is_detected() -> None:
-    data, _ = encode_batch([Record(7, RecordKind.PUT, b"key", b"value", 9), Record(8, RecordKind.DELETE, b"other")], 5)
+    data, _ = encode_batch(
+        [Record(7, RecordKind.PUT, b"key", b"value", 9), Record(8, RecordKind.DELETE, b"other")], 5
+    )
     for bit in range(8 * len(data)):
         corrupt = bytearray(data)
         corrupt[bit // 8] ^= 1 << bit % 8
--- a/tests/store/test_index.py
+++ b/tests/store/test_index.py
@@ -7,7 +7,7 @@
 import numpy as np
 import pytest
 
-from notchflow.store.frames import RecordKind, LocatedRecord, Record
+from notchflow.store.frames import LocatedRecord, Record, RecordKind
 from notchflow.store.hints import HintColumns, decode, encode
 from notchflow.store.index import SHARDS, Entry, Index, Shard, pack, unpack
 
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -277,7 +277,9 @@
     files, now = FaultyFiles(), 10_000
     engine = Engine(files, lambda: now, SMALL)
     engine.open()
-    engine.append([Change(RecordKind.PUT, b"short", b"", 10_500), Change(RecordKind.PUT, b"long", b"", 90_000)])
+    engine.append(
+        [Change(RecordKind.PUT, b"short", b"", 10_500), Change(RecordKind.PUT, b"long", b"", 90_000)]
+    )
     now = 11_000
     assert engine.read(b"short") is None
     now = 2_000
--- a/tests/store/test_tools.py
+++ b/tests/store/test_tools.py
@@ -107,7 +107,9 @@
     engine = Engine(RealFiles(tmp_path), lambda: 1000, SMALL)
     engine.open()
     effect = Effect(Fate.SERVED, b"f" * 16, 7, 900, 200)
-    engine.append([Change(RecordKind.PUT, b"alfa/order-1", effect.encode()), Change(RecordKind.PUT, b"\xff", b"\1\2")])
+    engine.append(
+        [Change(RecordKind.PUT, b"alfa/order-1", effect.encode()), Change(RecordKind.PUT, b"\xff", b"\1\2")]
+    )
     engine.append([Change(RecordKind.PUT, b"gone", b""), Change(RecordKind.DELETE, b"gone")])
     engine.close()
     assert main(["store", "dump", str(tmp_path)]) == 0
--- a/tests/tenancy/test_limits.py
+++ b/tests/tenancy/test_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchflow.tenancy.limits import MAX_RETRY_AFTER_S, TokenBucket, FairShares, Reason, Usage
+from notchflow.tenancy.limits import MAX_RETRY_AFTER_S, FairShares, Reason, TokenBucket, Usage
 from notchflow.tenancy.model import Limits
 
 WIDE = Limits(rate_per_s=1e6, burst=1e6, in_hand=1_000_000)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -343,7 +343,9 @@
             assert response is not None and response.status == status
             assert rig.host.metrics.open == 0 and rig.size == 0
             await send_body(client, body_of(3 * MB))  # read and discarded: a reset would lose the response
-            assert (await client.request(path="/health/ready")).status == 200, "the connection is good for more"
+            assert (
+                await client.request(path="/health/ready")
+            ).status == 200, "the connection is good for more"
             await wait_until(lambda: rig.host.frontend.idle)
             client.send("PUT", path, x_call_class="keyed", connection="close", content_length=str(4 * MB))
             await send_body(client, body_of(MB))
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -16,7 +16,7 @@
 import pytest
 
 from notchflow.interface import Outcome, Status, StreamStarted
-from tests.rig import Rig, Script, HttpMessage, answer, run, serve_value, wait_until
+from tests.rig import HttpMessage, Rig, Script, answer, run, serve_value, wait_until
 
 ROUNDS = 60
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,7 +10,7 @@
 
 from notchflow.net.console import MAX_CONNECTIONS
 from notchflow.net.frontend import inherit_listener
-from tests.rig import Client, Rig, HttpMessage, read_message, run, serve_value, wait_until
+from tests.rig import Client, HttpMessage, Rig, read_message, run, serve_value, wait_until
 
 ANY = ("127.0.0.1", 0)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
 from notchflow.net import watch
 from notchflow.net.config import load
 from notchflow.net.discovery import decode_node_list, node_id
-from tests.rig import Peer, Rig, HttpMessage, answer, run, serve_value, intercept_stop, wait_until
+from tests.rig import HttpMessage, Peer, Rig, answer, intercept_stop, run, serve_value, wait_until
 
 
 def test_a_watch_continues_from_each_answer_and_deltas_are_applied() -> None:
@@ -33,7 +33,9 @@
             call, writer = await rig.discovery_calls.get()
             assert "index=43" in call.line, "the next call leaves at once"
             assert memberships[-1].kind is ListKind.DELTA
-            assert (await rig.request()).status == 503 and rig.forwarded_count == 0, "a draining node gets no new requests"
+            assert (
+                await rig.request()
+            ).status == 503 and rig.forwarded_count == 0, "a draining node gets no new requests"
             writer.write(rig.list_answer(44))
             await rig.discovery_calls.get()
             assert (await rig.request()).status == 200
@@ -220,17 +222,26 @@
                 host.apply(decode_node_list(listing), kind)
 
             apply_entries(rig.entry(0))
-            assert (await rig.request()).status == 200 and (len(first.received), len(second.received)) == (1, 0)
+            assert (await rig.request()).status == 200 and (len(first.received), len(second.received)) == (
+                1,
+                0,
+            )
             moved = rig.entry(1, id="s-0")
             apply_entries(moved)
-            assert (await rig.request()).status == 200 and (len(first.received), len(second.received)) == (1, 1)
+            assert (await rig.request()).status == 200 and (len(first.received), len(second.received)) == (
+                1,
+                1,
+            )
             await wait_until(lambda: not first.open)
             apply_entries(moved | {"phase": "draining"}, rig.entry(1, id="s-9"))
             outcomes = rig.record_events(Outcome)
             assert (await rig.request()).status == 200 and len(second.received) == 2
             assert [o.node for o in outcomes] == [node_id("s-9")], "the address belongs to another id now"
             apply_entries(moved | {"phase": "removed"}, rig.entry(1, id="s-9", phase="removed"))
-            assert (await rig.request()).status == 503 and (len(first.received), len(second.received)) == (1, 2)
+            assert (await rig.request()).status == 503 and (len(first.received), len(second.received)) == (
+                1,
+                2,
+            )
             apply_entries(rig.entry(0, up_since_ms=1.0))
             assert (await rig.request()).status == 200 and len(first.received) == 2
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from notchflow.net import frontend
-from tests.rig import Client, Rig, HttpMessage, answer, run, serve_value, wait_until
+from tests.rig import Client, HttpMessage, Rig, answer, run, serve_value, wait_until
 
 VALID_REQUEST = b"GET /api/00aa HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: read\r\n\r\n"
 
@@ -150,7 +150,9 @@
             client = await rig.connect()
             client.send()
             client.writer.write_eof()
-            await wait_until(lambda: rig.forwarded_count and all(c.half_closed for c in rig.host.frontend.clients))
+            await wait_until(
+                lambda: rig.forwarded_count and all(c.half_closed for c in rig.host.frontend.clients)
+            )
             gate.set()
             seen = await client.receive()
             assert seen is not None and seen.status == 200
@@ -180,7 +182,9 @@
             seen = await client.request("PUT", body=b"x" * 200_000)  # a longer one would be streamed
             assert seen.status == 503
             assert (rig.host.buffered_bytes, rig.forwarded_count) == (0, 0)
-            assert (await client.request("PUT", body=b"x" * 50_000)).status == 200, "the connection stays usable"
+            assert (
+                await client.request("PUT", body=b"x" * 50_000)
+            ).status == 200, "the connection stays usable"
             assert rig.host.buffered_bytes == 0
 
     run(test())
@@ -291,7 +295,9 @@
                 client.send("PUT", body=None, content_length="300000", idempotency_key="1")
             slow.writer.write(b"x" * 200_000)
             clients = rig.host.frontend.clients
-            await wait_until(lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000])
+            await wait_until(
+                lambda: sorted(c.arriving.body_size for c in clients if c.arriving) == [0, 200_000]
+            )
             began = max(c.request_due_since or 0.0 for c in clients)
             rig.host.frontend.sweep(began + 3_100)
             seen = await stalled.receive()
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from notchflow.interface import Outcome, Status
-from tests.rig import CLASSES, Rig, Script, HttpMessage, answer, run, serve_value, wait_until
+from tests.rig import CLASSES, HttpMessage, Rig, Script, answer, run, serve_value, wait_until
 
 
 def replies(data: bytes, close: bool = False) -> Script:
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -6,7 +6,7 @@
 
 from standins.connections import ConnectionRecord, End
 from standins.load import OpenLoop
-from tests.rig import Peer, HttpMessage, answer, run, wait_until
+from tests.rig import HttpMessage, Peer, answer, run, wait_until
 
 REQUEST = b"GET /menus/1 HTTP/1.1\r\nHost: a\r\n\r\n"
 
--- a/tests/test_standin_stop.py
+++ b/tests/test_standin_stop.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from standins.node import StandInNode
 from standins.discovery import StandInDiscovery
+from standins.node import StandInNode
 from tests.rig import Peer, run
 
 LOOP_TURNS = 6  # of the event loop, enough to accept a connection and start its handler
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -7,7 +7,7 @@
 
 from notchflow.interface import Outcome, Status
 from notchflow.net.connection import DECAY_INTERVAL_MS, IdleLimit
-from tests.rig import Rig, HttpMessage, answer, run, serve_value, wait_until
+from tests.rig import HttpMessage, Rig, answer, run, serve_value, wait_until
 
 
 def test_a_failure_in_the_middle_of_a_response_does_not_count_against_idle_time() -> None:
